--- a/copperloom/decisions/query.py
+++ b/copperloom/decisions/query.py
@@ -43,7 +43,7 @@
         targets: How many targets were looked at.
         targets_version: Version of the targets that it was decided by.
         decided_by: The instance that decided.
-        board_age_s: Age of the oldest word of a peer that it goes by.
+        staleness_s: Age of the oldest word of a peer that it goes by.
         busy: How busy the shard is, as `overflow.busyness` says.
         elsewhere: Another data centre to ask, which has more room.
     """
@@ -52,7 +52,7 @@
     targets: int
     targets_version: int
     decided_by: str
-    board_age_s: float = 0.0
+    staleness_s: float = 0.0
     busy: float = 0.0
     elsewhere: overflow.Place | None = None
 
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 
 from copperloom import routing
-from copperloom.decisions import board, choice, inflight, passes, plans
+from copperloom.decisions import choice, inflight, inflight_table, passes, plans
 
 __all__ = ["Arrival", "Served", "least_requests", "play", "spread_by_harm"]
 
@@ -144,7 +144,7 @@
         self.spec = spec
         self.engines = engines
         self.told_after_s = told_after_s
-        self.board = board.Board()
+        self.board = inflight_table.InflightTable()
         self.placed: dict[str, Served] = {}
         self.queue: list = []
         self.order = itertools.count()
@@ -158,7 +158,7 @@
         if not waited_s:
             self.served.append(served)
         prompt = dataclasses.replace(served.arrival.prompt, waited_s=waited_s)
-        loads = board.loads(self._known(now, served.instance), now)
+        loads = inflight_table.loads(self._known(now, served.instance), now)
         candidates = [
             plans.Candidate(
                 n, loads.get(n, inflight.TargetLoad()), 0.0, self.spec.slots
@@ -181,14 +181,14 @@
             self._take(self.engines[name], reading, leads=name == plan.lead)
             self.start_pass(now, name)
 
-    def _known(self, now: float, instance: int) -> board.Board:
+    def _known(self, now: float, instance: int) -> inflight_table.InflightTable:
         """Returns the board without what others have not told yet."""
-        known = board.Board()
+        known = inflight_table.InflightTable()
         for request, work in self.board.own.items():
             served = self.placed[request]
             told = served.begun <= now - self.told_after_s
             if told or served.instance == instance:
-                board.begin(known, request, work)
+                inflight_table.begin(known, request, work)
         return known
 
     def _take(self, engine: _Engine, reading: _Reading, *, leads: bool):
@@ -202,7 +202,7 @@
     def _note(self, now, served, plan, names) -> None:
         prompt = served.arrival.prompt
         self.placed[str(id(served))] = served
-        board.begin(
+        inflight_table.begin(
             self.board,
             str(id(served)),
             [
@@ -250,7 +250,7 @@
             served.last_at = now
             if served.events >= _EVENTS:
                 engine.writing.remove(served)
-                board.end(self.board, str(id(served)))
+                inflight_table.end(self.board, str(id(served)))
                 engine.admitted -= 1
                 if engine.queue:
                     self._take(engine, engine.queue.popleft(), leads=True)
@@ -265,7 +265,7 @@
     def _first(self, now: float, served: Served) -> None:
         served.first_s = now - served.arrival.at
         served.last_at = now
-        board.note_writing(self.board, str(id(served)))
+        inflight_table.mark_decoding(self.board, str(id(served)))
         self.engines[served.lead].writing.append(served)
         self.start_pass(now, served.lead)
 
--- a/copperloom/decisions/tests/test_board.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -3,7 +3,13 @@
 import unittest
 
 from copperloom import routing
-from copperloom.decisions import board, budget, health, inflight, registry
+from copperloom.decisions import (
+    budget,
+    health,
+    inflight,
+    inflight_table,
+    registry,
+)
 
 
 def _work(target: str = "e0", begun: float = 0.0, **changes) -> inflight.Work:
@@ -17,97 +23,115 @@
 
 
 def _told(sequence: int = 1, boot: str = "a", at: float = 0.0, *work):
-    return board.PeerWork(boot, sequence, at, work)
+    return inflight_table.PeerWork(boot, sequence, at, work)
 
 
 class BoardTest(unittest.TestCase):
     def test_own_and_peers_work_add_up(self):
-        b = board.Board()
-        board.begin(b, "q1", [_work(), _work("e1", writes=False, tokens=0)])
-        board.hear(b, "peer", _told(1, "a", 0.0, _work()))
-        loads = board.loads(b, 0.1)
+        b = inflight_table.InflightTable()
+        inflight_table.begin(
+            b, "q1", [_work(), _work("e1", writes=False, tokens=0)]
+        )
+        inflight_table.apply_update(b, "peer", _told(1, "a", 0.0, _work()))
+        loads = inflight_table.loads(b, 0.1)
         self.assertEqual(loads["e0"].requests, 2)
         self.assertEqual(loads["e0"].tokens, 2000)
         self.assertEqual(loads["e1"].parts, 1)
 
     def test_first_token_ends_the_parts(self):
-        b = board.Board()
-        board.begin(b, "q1", [_work(), _work("e1", writes=False, tokens=0)])
-        board.note_writing(b, "q1")
-        loads = board.loads(b, 0.1)
+        b = inflight_table.InflightTable()
+        inflight_table.begin(
+            b, "q1", [_work(), _work("e1", writes=False, tokens=0)]
+        )
+        inflight_table.mark_decoding(b, "q1")
+        loads = inflight_table.loads(b, 0.1)
         self.assertNotIn("e1", loads)
         self.assertEqual(len(loads["e0"].writers), 1)
         self.assertEqual(loads["e0"].readers, ())
 
     def test_silent_peer_fades(self):
         """A peer dies; its work must not keep targets unused for ever."""
-        b = board.Board()
-        board.hear(b, "peer", _told(1, "a", 0.0, _work()))
-        self.assertIn("e0", board.loads(b, 1.0))
-        self.assertNotIn("e0", board.loads(b, board.PEER_SILENT_S + 0.1))
+        b = inflight_table.InflightTable()
+        inflight_table.apply_update(b, "peer", _told(1, "a", 0.0, _work()))
+        self.assertIn("e0", inflight_table.loads(b, 1.0))
+        self.assertNotIn(
+            "e0", inflight_table.loads(b, inflight_table.PEER_TIMEOUT_S + 0.1)
+        )
 
     def test_late_message_changes_nothing(self):
-        b = board.Board()
-        board.hear(b, "peer", _told(5, "a", 0.0))
-        self.assertFalse(board.hear(b, "peer", _told(4, "a", 0.1, _work())))
-        self.assertEqual(board.loads(b, 0.1), {})
+        b = inflight_table.InflightTable()
+        inflight_table.apply_update(b, "peer", _told(5, "a", 0.0))
+        self.assertFalse(
+            inflight_table.apply_update(b, "peer", _told(4, "a", 0.1, _work()))
+        )
+        self.assertEqual(inflight_table.loads(b, 0.1), {})
 
     def test_new_boot_replaces_the_old_ones_work(self):
-        b = board.Board()
-        board.hear(b, "peer", _told(900, "a", 0.0, _work()))
-        self.assertTrue(board.hear(b, "peer", _told(1, "b", 0.1)))
-        self.assertEqual(board.loads(b, 0.1), {})
+        b = inflight_table.InflightTable()
+        inflight_table.apply_update(b, "peer", _told(900, "a", 0.0, _work()))
+        self.assertTrue(
+            inflight_table.apply_update(b, "peer", _told(1, "b", 0.1))
+        )
+        self.assertEqual(inflight_table.loads(b, 0.1), {})
 
     def test_target_that_started_again_has_nothing(self):
-        b = board.Board()
-        board.hear(b, "peer", _told(1, "a", 0.0, _work(), _work("e1")))
-        board.forget_target(b, "e0")
-        self.assertEqual(set(board.loads(b, 0.1)), {"e1"})
+        b = inflight_table.InflightTable()
+        inflight_table.apply_update(
+            b, "peer", _told(1, "a", 0.0, _work(), _work("e1"))
+        )
+        inflight_table.drop_target(b, "e0")
+        self.assertEqual(set(inflight_table.loads(b, 0.1)), {"e1"})
 
     def test_holders_of_memory_write_too(self):
-        b = board.Board()
-        board.begin(b, "q1", [_work(), _work("e1", writes=False)])
-        board.note_writing(b, "q1")
-        self.assertEqual(len(board.loads(b, 0.1)["e1"].writers), 1)
+        b = inflight_table.InflightTable()
+        inflight_table.begin(b, "q1", [_work(), _work("e1", writes=False)])
+        inflight_table.mark_decoding(b, "q1")
+        self.assertEqual(len(inflight_table.loads(b, 0.1)["e1"].writers), 1)
 
     def test_placement_for_a_peer_counts_until_it_tells(self):
         """Two peers ask for a place within the time of a message."""
-        b = board.Board()
-        board.hear(b, "peer", _told(3, "a", 0.0))
-        board.grant(b, "peer", "q1", 3, [_work()], 0.0)
-        self.assertEqual(board.loads(b, 0.1)["e0"].requests, 1)
-        board.hear(b, "peer", _told(4, "a", 0.1, _work()))
-        self.assertEqual(board.loads(b, 0.1)["e0"].requests, 1)
-        board.hear(b, "peer", _told(5, "a", 0.2))
-        self.assertEqual(board.loads(b, 0.2), {})
+        b = inflight_table.InflightTable()
+        inflight_table.apply_update(b, "peer", _told(3, "a", 0.0))
+        inflight_table.add_pending(b, "peer", "q1", 3, [_work()], 0.0)
+        self.assertEqual(inflight_table.loads(b, 0.1)["e0"].requests, 1)
+        inflight_table.apply_update(b, "peer", _told(4, "a", 0.1, _work()))
+        self.assertEqual(inflight_table.loads(b, 0.1)["e0"].requests, 1)
+        inflight_table.apply_update(b, "peer", _told(5, "a", 0.2))
+        self.assertEqual(inflight_table.loads(b, 0.2), {})
 
     def test_placement_that_nobody_takes_up_fades(self):
         """The peer asked another owner meanwhile, or died."""
-        b = board.Board()
-        board.grant(b, "peer", "q1", 3, [_work()], 0.0)
-        self.assertEqual(board.loads(b, board.GRANT_S + 0.1), {})
-        board.forget_silent(b, board.GRANT_S + 0.1)
+        b = inflight_table.InflightTable()
+        inflight_table.add_pending(b, "peer", "q1", 3, [_work()], 0.0)
+        self.assertEqual(
+            inflight_table.loads(b, inflight_table.PENDING_S + 0.1), {}
+        )
+        inflight_table.drop_silent_peers(b, inflight_table.PENDING_S + 0.1)
         self.assertEqual(b.by_target, {})
 
     def test_sums_are_kept_as_work_changes(self):
         """Many changes of own and others' work leave nothing behind."""
-        b = board.Board()
+        b = inflight_table.InflightTable()
         for n in range(50):
-            board.begin(b, f"q{n % 5}", [_work(f"e{n % 3}"), _work("e4")])
+            inflight_table.begin(
+                b, f"q{n % 5}", [_work(f"e{n % 3}"), _work("e4")]
+            )
             told = _told(n, "a", n * 0.01, _work(f"e{n % 4}"), _work("e4"))
-            board.hear(b, f"peer-{n % 2}", told)
-            board.note_writing(b, f"q{n % 4}")
-            board.forget_target(b, f"e{n % 7}")
+            inflight_table.apply_update(b, f"peer-{n % 2}", told)
+            inflight_table.mark_decoding(b, f"q{n % 4}")
+            inflight_table.drop_target(b, f"e{n % 7}")
         for n in range(5):
-            board.end(b, f"q{n}")
-        board.forget_silent(b, 100.0)
+            inflight_table.end(b, f"q{n}")
+        inflight_table.drop_silent_peers(b, 100.0)
         self.assertEqual(b.by_target, {})
         self.assertEqual(b.peers, {})
 
     def test_only_the_targets_asked_for_are_summed(self):
-        b = board.Board()
-        board.begin(b, "q1", [_work("e0"), _work("e1")])
-        self.assertEqual(set(board.loads(b, 0.1, ["e1", "e2"])), {"e1"})
+        b = inflight_table.InflightTable()
+        inflight_table.begin(b, "q1", [_work("e0"), _work("e1")])
+        self.assertEqual(
+            set(inflight_table.loads(b, 0.1, ["e1", "e2"])), {"e1"}
+        )
 
 
 class BudgetTest(unittest.TestCase):
--- a/copperloom/ingress/adopt.py
+++ b/copperloom/ingress/adopt.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from copperloom import logs
-from copperloom.decisions import board, registry, rowlog, shards
+from copperloom.decisions import inflight_table, registry, rowlog, shards
 from copperloom.ingress.state import IngressState
 from copperloom.platform import decoding
 
@@ -80,13 +80,13 @@
     for entry in started:
         if before.get(entry.name) is not None:
             # Peers may have told of work at one that is only new here.
-            board.forget_target(state.board, entry.name)
+            inflight_table.drop_target(state.inflight, entry.name)
         state.health.pop(entry.name, None)
         state.heard_health.pop(entry.name, None)
         state.reports.pop(entry.name, None)
     for name, entry in before.items():
         if entry is not None and name not in state.targets.entries:
-            board.forget_target(state.board, name)
+            inflight_table.drop_target(state.inflight, name)
     _log_targets(state, before, source)
     state.targets_at = now
     _note_change(state)
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -2,10 +2,10 @@
 
 from copperloom import routing
 from copperloom.decisions import (
-    board,
     choice,
     health,
     inflight,
+    inflight_table,
     members,
     overflow,
     plans,
@@ -54,7 +54,7 @@
         targets=len(usable),
         targets_version=state.targets.version,
         decided_by=state.settings.instance,
-        board_age_s=board.age_s(state.board, now),
+        staleness_s=inflight_table.staleness_s(state.inflight, now),
         busy=busy,
         elsewhere=away,
     )
@@ -105,7 +105,7 @@
     known: list[routing.TargetEntry],
     now: float,
 ) -> list[plans.Candidate]:
-    load = board.loads(state.board, now, (e.name for e in known))
+    load = inflight_table.loads(state.inflight, now, (e.name for e in known))
     return [_candidate(state, asked, e, load, now) for e in known]
 
 
--- a/copperloom/ingress/audience.py
+++ b/copperloom/ingress/audience.py
@@ -104,7 +104,7 @@
         home = shards.home(service, usable, state.settings.data_centre)
         found.add(home)
     for request, (shard, placed_at) in list(state.shards_used.items()):
-        if request in state.board.own:
+        if request in state.inflight.own:
             state.shards_used[request] = (shard, now)
         elif now - placed_at > _SHARD_KEPT_S:
             del state.shards_used[request]
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -103,7 +103,7 @@
     refused: bool
     targets: int
     targets_version: int
-    board_age_s: float
+    staleness_s: float
     busy: float
     elsewhere: overflow.Place | None
 
@@ -183,7 +183,7 @@
         refused=isinstance(chosen, plans.Refusal),
         targets=decided.targets,
         targets_version=decided.targets_version,
-        board_age_s=decided.board_age_s,
+        staleness_s=decided.staleness_s,
         busy=decided.busy,
         elsewhere=decided.elsewhere,
     )
@@ -201,7 +201,7 @@
         targets=answer.targets,
         targets_version=answer.targets_version,
         decided_by=answer.owner,
-        board_age_s=answer.board_age_s,
+        staleness_s=answer.staleness_s,
         busy=answer.busy,
         elsewhere=answer.elsewhere,
     )
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from copperloom import exception, logs, routing
-from copperloom.decisions import board, health, plans, query, registry
+from copperloom.decisions import health, inflight_table, plans, query, registry
 from copperloom.ingress import (
     exchange,
     place,
@@ -140,7 +140,7 @@
     if now >= ex.deadline:
         raise exception.TimeLimitPassedError(run=ex.run)
     work = query.work(place.to_query(ex, now), ex.plan, now)
-    board.begin(state.board, ex.id, work)
+    inflight_table.begin(state.inflight, ex.id, work)
     before = ex.run
     ex.sends += 1
     new = entry.name not in ex.sent_to
@@ -169,7 +169,7 @@
         ex.run = before
         raise
     finally:
-        board.end(state.board, ex.id)
+        inflight_table.end(state.inflight, ex.id)
         state.changed.set()
 
 
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from copperloom import logs
-from copperloom.decisions import board, health, members
+from copperloom.decisions import health, inflight_table, members
 from copperloom.ingress import (
     assign,
     audience,
@@ -117,7 +117,7 @@
     """Tells others for ever."""
     loop = asyncio.get_running_loop()
     state = gossip.state
-    state.board.on_change = functools.partial(_note_change, gossip)
+    state.inflight.on_change = functools.partial(_note_change, gossip)
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_beat_s(state)):
@@ -147,7 +147,7 @@
     if gossip.lesser is not None:
         gossip.lesser.cancel()
         gossip.lesser = None
-    board.forget_silent(state.board, now)
+    inflight_table.drop_silent_peers(state.inflight, now)
     audience.forget_gone(state, now)
     listeners = audience.listeners(state, now)
     joined: list[datagrams.Introduction] = []
@@ -275,7 +275,8 @@
         leaving=state.draining,
         store_lost=bool(state.lost_tables),
         work=[
-            datagrams.encode_work(w, now) for w in board.own_work(state.board)
+            datagrams.encode_work(w, now)
+            for w in inflight_table.own_work(state.inflight)
         ],
         penalties={
             name: round(points, 1)
@@ -290,8 +291,10 @@
     state = gossip.state
     now = asyncio.get_running_loop().time()
     work = tuple(datagrams.decode_work(w, now) for w in told.work)
-    heard = board.PeerWork(told.boot, told.sequence, now, work)
-    if not board.hear(state.board, told.sender.instance, heard):
+    heard = inflight_table.PeerWork(told.boot, told.sequence, now, work)
+    if not inflight_table.apply_update(
+        state.inflight, told.sender.instance, heard
+    ):
         return
     health.hear(state.heard_health, told.penalties, now)
     health.take_report(state.reports, told.sender.instance, told.failures, now)
@@ -307,7 +310,7 @@
     members.note_heard(member, now)
     for introduced in told.joined:
         introductions.take(state, introduced, now)
-    if work or state.board.own:
+    if work or state.inflight.own:
         state.changed.set()
     wanted = started or told.wants_members
     if wanted or audience.owes_answer(state, member, now, members.ANSWER_S):
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/owners.py
@@ -9,7 +9,7 @@
 import dataclasses
 
 from copperloom import logs
-from copperloom.decisions import board, members, plans, query, shards
+from copperloom.decisions import inflight_table, members, plans, query, shards
 from copperloom.ingress import assign, datagrams
 from copperloom.ingress.state import IngressState, is_large_fleet
 
@@ -153,8 +153,8 @@
     decided = assign.decide(state, asked, now)
     if isinstance(decided.choice, plans.Plan):
         work = query.work(asked, decided.choice, now)
-        board.grant(
-            state.board,
+        inflight_table.add_pending(
+            state.inflight,
             question.asker,
             asked.request,
             question.sequence,
--- a/copperloom/ingress/place.py
+++ b/copperloom/ingress/place.py
@@ -144,5 +144,5 @@
         targets_version=decided.targets_version,
         decided_by=decided.decided_by,
         busy=decided.busy,
-        board_age_s=decided.board_age_s,
+        staleness_s=decided.staleness_s,
     )
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from copperloom import exception, logs
-from copperloom.decisions import board, health, pace, patience
+from copperloom.decisions import health, inflight_table, pace, patience
 from copperloom.ingress import events, exchange, repeat, sender
 from copperloom.platform import headers
 
@@ -71,7 +71,7 @@
         now = loop.time()
         if not begun:
             begun = True
-            board.note_writing(ex.state.board, ex.id)
+            inflight_table.mark_decoding(ex.state.inflight, ex.id)
         else:
             pace.note_pause(written, now - ex.last_at)
             _note_pace(ex, written, now)
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -9,9 +9,9 @@
 
 from copperloom import routing
 from copperloom.decisions import (
-    board,
     budget,
     health,
+    inflight_table,
     members,
     registry,
     rowlog,
@@ -52,7 +52,7 @@
         target_rows: Their registrations as the platform keeps them.
         lost_tables: Tables that the platform does not give at present.
         look_now: Set when the tables should be read without waiting.
-        board: Work in progress at the targets.
+        inflight: Work in progress at the targets.
         news: Set when peers should hear of a change at once.
         sequence: Number of the last digest sent.
         datagrams: IP:port of the datagram socket, once it is open.
@@ -103,7 +103,7 @@
         self.target_rows = rowlog.RowLog()
         self.lost_tables: set[str] = set()
         self.look_now = asyncio.Event()
-        self.board = board.Board()
+        self.inflight = inflight_table.InflightTable()
         self.news = asyncio.Event()
         self.sequence = 0
         self.datagrams = ""
--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -245,7 +245,7 @@
         others = [f.entry for f in system.fronts[1:]]
         await fixtures.until(
             lambda: all(
-                any(told.work for told in e.board.peers.values())
+                any(told.work for told in e.inflight.peers.values())
                 for e in others
             )
         )
@@ -253,7 +253,9 @@
         await fixtures.until(
             lambda: (
                 not any(
-                    told.work for e in others for told in e.board.peers.values()
+                    told.work
+                    for e in others
+                    for told in e.inflight.peers.values()
                 )
             )
         )
--- a/copperloom/ingress/tests/test_failures.py
+++ b/copperloom/ingress/tests/test_failures.py
@@ -244,7 +244,7 @@
                     limit_s=0.5,
                 )
                 entry = system.fronts[0].entry
-                self.assertEqual(entry.board.own, {})
+                self.assertEqual(entry.inflight.own, {})
                 self.assertEqual(entry.active, 0)
 
 
--- a/copperloom/ingress/tests/test_gossip.py
+++ b/copperloom/ingress/tests/test_gossip.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from copperloom.decisions import board, inflight
+from copperloom.decisions import inflight, inflight_table
 from copperloom.ingress import gossip, state
 from copperloom.ingress.tests import fixtures
 
@@ -47,26 +47,26 @@
         one engine, and one caller waits there for seconds.
         """
         self.assertEqual(self.transport.sent, [])
-        board.begin(self.entry.board, "q1", [_WORK])
+        inflight_table.begin(self.entry.inflight, "q1", [_WORK])
         await self._turns()
         self.assertEqual(len(self.transport.sent), 1)
 
     async def test_changes_that_follow_go_out_together(self):
         """A crowd comes: a datagram for each request would cost too much."""
-        board.begin(self.entry.board, "first", [_WORK])
+        inflight_table.begin(self.entry.inflight, "first", [_WORK])
         await self._turns()
         for number in range(10):
-            board.begin(self.entry.board, f"q{number}", [_WORK])
+            inflight_table.begin(self.entry.inflight, f"q{number}", [_WORK])
         await asyncio.sleep(_BESIDE_S)
         self.assertEqual(len(self.transport.sent), 2)
 
     async def test_lesser_changes_go_out_soon(self):
         """An answer ends: others may place there, but not this instant."""
-        board.begin(self.entry.board, "q1", [_WORK])
+        inflight_table.begin(self.entry.inflight, "q1", [_WORK])
         await asyncio.sleep(_BESIDE_S)
         self.transport.sent.clear()
-        board.note_writing(self.entry.board, "q1")
-        board.end(self.entry.board, "q1")
+        inflight_table.mark_decoding(self.entry.inflight, "q1")
+        inflight_table.end(self.entry.inflight, "q1")
         await self._turns()
         self.assertEqual(self.transport.sent, [])
         await asyncio.sleep(gossip.LESSER_S + _BESIDE_S)
--- a/copperloom/ingress/tests/test_owners.py
+++ b/copperloom/ingress/tests/test_owners.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import board, inflight, members, shards
+from copperloom.decisions import inflight, inflight_table, members, shards
 from copperloom.ingress import gossip, owners, server
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins import target as target_standin
@@ -90,7 +90,7 @@
         # askers tell late that they have sent what was placed for them.
         with (
             mock.patch.object(owners, "PATIENCE_S", 2.0),
-            mock.patch.object(board, "GRANT_S", 5.0),
+            mock.patch.object(inflight_table, "PENDING_S", 5.0),
         ):
             answers = await asyncio.gather(*asking)
         self.assertEqual({a.status for a in answers}, {200})
@@ -211,7 +211,9 @@
         )
         await asyncio.sleep(0.3)
         second = system.fronts[_number(system, order[1])].entry
-        loads = board.loads(second.board, asyncio.get_running_loop().time())
+        loads = inflight_table.loads(
+            second.inflight, asyncio.get_running_loop().time()
+        )
         self.assertEqual(sum(load.requests for load in loads.values()), 1)
         self.assertEqual((await asking).status, 200)
 
@@ -287,7 +289,7 @@
             inflight.Work("engine-0", 0.1, True, 5000, 0.25, now, writing=True)
             for _ in range(fixtures.ENGINE["slots"])
         ]
-        board.begin(system.fronts[0].entry.board, "q1", full)
+        inflight_table.begin(system.fronts[0].entry.inflight, "q1", full)
         await asyncio.sleep(2.0)
         answer = await fixtures.call(
             system, "/chat/x", prompt=5000, number=_FRONTS - 2
@@ -311,7 +313,7 @@
                 inflight.Work(f"engine-{n}", 5.0, True, 60_000, 0.25, now)
                 for n in range(3)
             ]
-            board.begin(system.fronts[0].entry.board, "q1", busy)
+            inflight_table.begin(system.fronts[0].entry.inflight, "q1", busy)
             await asyncio.sleep(0.6)
             await system.add_front()
             answer = await fixtures.call(
