--- a/copperloom/cli/losses.py
+++ b/copperloom/cli/losses.py
@@ -11,7 +11,7 @@
 import dataclasses
 
 from copperloom.cli import trace
-from copperloom.decisions import harm, plans
+from copperloom.decisions import interference, plans
 from copperloom.ingress import metrics
 from copperloom.platform import report
 
@@ -122,4 +122,8 @@
         aim_s = float(said["aim_s"])
         ahead = placed and float(placed.pairs["predicted_s"]) > aim_s
         late = "first event, foreseen" if ahead else "first event, unforeseen"
-    return (f"late by its {late}{again}", harm.LATE_LOSS) if late else ("", 0.0)
+    return (
+        (f"late by its {late}{again}", interference.LATE_LOSS)
+        if late
+        else ("", 0.0)
+    )
--- a/copperloom/decisions/harm.py
+++ b/copperloom/decisions/interference.py
@@ -9,18 +9,24 @@
 
 from copperloom.decisions import passes, patience, plans
 
-__all__ = ["Outlook", "arrivals_harm", "outlook", "own_loss", "reading_harm"]
+__all__ = [
+    "DecodeLoss",
+    "arrival_interference",
+    "decode_loss",
+    "waiting_loss",
+    "prefill_interference",
+]
 
 # Times are predicted to about this; lateness is a slope, not a step, so that
 # of two placements near the limit the quicker one is taken.
-BLUR_S = 0.035
+PREDICTION_ERROR_S = 0.035
 # The longer a time, the more comes in between; as shares of the limit.
-BLUR_SHARE = 0.06
+PREDICTION_ERROR_SHARE = 0.06
 # An aim below it would make any wait dear.
 _LEAST_AIM_S = 0.05
 # Kept free below a limit for the way, for timers and for what is not known.
-WAY_S = 0.03
-WAY_SHARE = 0.1
+NETWORK_MARGIN_S = 0.03
+NETWORK_MARGIN_SHARE = 0.1
 # Share of its worth that a late request loses.
 LATE_LOSS = 0.75
 # Requests below this worth are short: they come often and end soon.
@@ -37,16 +43,16 @@
 USABLE_SLOTS = 0.7
 # A short answer is written in about this time, so the requests in progress
 # come anew once in it.
-ANSWER_S = 1.5
+SHORT_ANSWER_S = 1.5
 # Callers leave a stream that shows no token for four times its objective.
-LEAVES_AFTER = 3.5
+ABANDON_OBJECTIVES = 3.5
 # Kept below the silence after which callers leave: one that has left has
 # nothing of what was done for it.
-LEAVES_SOON = 0.75
+ABANDON_MARGIN = 0.75
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outlook:
+class DecodeLoss:
     """What a target's writers stand to lose, before anything is added.
 
     Attributes:
@@ -59,21 +65,21 @@
     lost: float
 
 
-def outlook(tgt: plans.Candidate, time: passes.Timeline) -> Outlook:
-    """Prepares what `reading_harm` needs of a target, whatever it reads."""
+def decode_loss(tgt: plans.Candidate, time: passes.Timeline) -> DecodeLoss:
+    """Prepares what `prefill_interference` needs of a target."""
     aims: dict[float, float] = {}
     for writer in tgt.load.writers:
         aim = writer.pause_aim_s
         aims[aim] = aims.get(aim, 0.0) + writer.worth
     before = time.idle_s + time.pending_s
     lost = sum(w * _pause_loss(aim, before) for aim, w in aims.items())
-    return Outlook(tuple(aims.items()), lost)
+    return DecodeLoss(tuple(aims.items()), lost)
 
 
-def reading_harm(
+def prefill_interference(
     tgt: plans.Candidate,
     time: passes.Timeline,
-    known: Outlook,
+    known: DecodeLoss,
     part_s: float,
     in_parts: bool,
 ) -> float:
@@ -105,19 +111,21 @@
     """Returns the share of an answer's worth that a pause takes."""
     leaves_s = patience.leaves_after_s(0.0, aim_s)
     loss = LATE_LOSS * _late(pause_s, aim_s)
-    return loss + (1 - LATE_LOSS) * _late(pause_s, leaves_s * LEAVES_SOON)
+    return loss + (1 - LATE_LOSS) * _late(pause_s, leaves_s * ABANDON_MARGIN)
 
 
-def own_loss(prompt: plans.Prompt, first_s: float) -> float:
+def waiting_loss(prompt: plans.Prompt, first_s: float) -> float:
     """Predicts the worth that a request itself loses by waiting."""
     aim = prompt.first_token_aim_s
     loss = LATE_LOSS * _late(first_s, aim)
-    loss += (1 - LATE_LOSS) * _late(first_s, aim * LEAVES_AFTER)
+    loss += (1 - LATE_LOSS) * _late(first_s, aim * ABANDON_OBJECTIVES)
     waiting = WAIT_COST * first_s / max(aim, _LEAST_AIM_S)
     return plans.worth(prompt.tokens) * loss + waiting
 
 
-def arrivals_harm(engine, candidates, chosen, times, part_s: float) -> float:
+def arrival_interference(
+    engine, candidates, chosen, times, part_s: float
+) -> float:
     """Predicts the worth that requests lose which come while a part is read.
 
     Engines that read for long are closed to them. As long as the others have
@@ -136,7 +144,7 @@
     )
     before = _turned_late(engine, len(open_now), short)
     after = _turned_late(engine, len(open_now - names), short)
-    return LATE_LOSS * (after - before) * closed_s / ANSWER_S
+    return LATE_LOSS * (after - before) * closed_s / SHORT_ANSWER_S
 
 
 def _turned_late(engine, open_engines: int, short: int) -> float:
@@ -146,6 +154,6 @@
 
 def _late(time_s: float, limit_s: float) -> float:
     """Returns the chance that a predicted time turns out over a limit."""
-    blur_s = max(BLUR_S, BLUR_SHARE * limit_s)
-    limit_s -= max(WAY_S, WAY_SHARE * limit_s)
+    blur_s = max(PREDICTION_ERROR_S, PREDICTION_ERROR_SHARE * limit_s)
+    limit_s -= max(NETWORK_MARGIN_S, NETWORK_MARGIN_SHARE * limit_s)
     return 1.0 / (1.0 + math.exp(min(50.0, (limit_s - time_s) / blur_s)))
--- a/copperloom/decisions/spread.py
+++ b/copperloom/decisions/spread.py
@@ -17,7 +17,7 @@
 import random
 
 from copperloom import routing
-from copperloom.decisions import harm, passes, plans
+from copperloom.decisions import interference, passes, plans
 
 __all__ = ["draw", "is_refused", "plan_prompt", "plan_service", "sample"]
 
@@ -89,7 +89,9 @@
         return None
     total_s = passes.read_s(engine, prompt.tokens)
     times = {c.name: passes.play(engine, c.load) for c in candidates}
-    known = {c.name: harm.outlook(c, times[c.name]) for c in candidates}
+    known = {
+        c.name: interference.decode_loss(c, times[c.name]) for c in candidates
+    }
     best: plans.Plan | None = None
     for parts in _part_counts(total_s, len(candidates)):
         plan = _plan_parts(
@@ -245,7 +247,7 @@
 ) -> plans.Plan | None:
     in_parts = parts > 1
     costs = {
-        c.name: harm.reading_harm(
+        c.name: interference.prefill_interference(
             c, times[c.name], known[c.name], part_s, in_parts
         )
         + c.penalty * PENALTY_COST
@@ -268,8 +270,10 @@
     at_risk = PENALTY_COST * plans.worth(prompt.tokens) * RISK_SHARE
     cost += at_risk * sum(c.penalty for c in chosen)
     cost += _lead_cost(engine, lead)
-    cost += harm.own_loss(prompt, first_s)
-    cost += harm.arrivals_harm(engine, candidates, chosen, times, part_s)
+    cost += interference.waiting_loss(prompt, first_s)
+    cost += interference.arrival_interference(
+        engine, candidates, chosen, times, part_s
+    )
     cost += PART_COST * (parts - 1)
     names = tuple(c.name for c in others)
     return plans.Plan(lead.name, names, part_s, first_s, cost)
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -46,9 +46,9 @@
     # Long prompts wait for engines that come free.
     "waiting": (Switch("decisions.waiting", "DEAR_SHARE", _NEVER),),
     # Requests that come while engines read count.
-    "arrivals": (Switch("decisions.harm", "ANSWER_S", _NEVER),),
+    "arrivals": (Switch("decisions.interference", "SHORT_ANSWER_S", _NEVER),),
     # Waiting costs, also when it is in time.
-    "wait_price": (Switch("decisions.harm", "WAIT_COST", 0.0),),
+    "wait_price": (Switch("decisions.interference", "WAIT_COST", 0.0),),
     # Targets that failed of late are avoided.
     "penalties": (
         Switch("decisions.spread", "PENALTY_COST", 0.0),
