--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -1,13 +1,13 @@
 """The worth that a placement takes from others, and its own lateness.
 
-Times are predicted by `copperloom.decisions.passes`; how likely a time turns
-out too late is a slope, not a step, because more comes in between.
+Times are predicted by `copperloom.decisions.iterations`; how likely a time
+turns out too late is a slope, not a step, because more comes in between.
 """
 
 import dataclasses
 import math
 
-from copperloom.decisions import passes, patience, plans
+from copperloom.decisions import iterations, patience, plans
 
 __all__ = [
     "DecodeLoss",
@@ -65,26 +65,26 @@
     lost: float
 
 
-def decode_loss(tgt: plans.Candidate, time: passes.Timeline) -> DecodeLoss:
+def decode_loss(tgt: plans.Candidate, time: iterations.Timeline) -> DecodeLoss:
     """Prepares what `prefill_interference` needs of a target."""
     aims: dict[float, float] = {}
     for writer in tgt.load.writers:
         aim = writer.pause_aim_s
         aims[aim] = aims.get(aim, 0.0) + writer.worth
-    before = time.idle_s + time.pending_s
+    before = time.decode_only_s + time.queued_prefill_s
     lost = sum(w * _pause_loss(aim, before) for aim, w in aims.items())
     return DecodeLoss(tuple(aims.items()), lost)
 
 
 def prefill_interference(
     tgt: plans.Candidate,
-    time: passes.Timeline,
+    time: iterations.Timeline,
     known: DecodeLoss,
     part_s: float,
     in_parts: bool,
 ) -> float:
     """Predicts the worth that others lose when a target reads a part."""
-    before = time.idle_s + time.pending_s
+    before = time.decode_only_s + time.queued_prefill_s
     lost = -known.lost
     for aim, worth in known.writers:
         lost += worth * _pause_loss(aim, before + part_s)
@@ -95,7 +95,7 @@
         tgt.load.readers, time.done_s, time.pending, strict=True
     ):
         if shifts and pending:
-            limit = reader.due_s - time.idle_s
+            limit = reader.due_s - time.decode_only_s
             more = _late(done + part_s, limit) - _late(done, limit)
             lost += reader.worth * more * LATE_LOSS + part_s * WAIT_COST
         # A prompt in the pass that runs writes from the next one on, and so
@@ -104,7 +104,7 @@
         if reader.pause_aim_s is not None and (in_pass or done < SOON_WRITES_S):
             aim = reader.pause_aim_s
             lost += reader.worth * _pause_loss(aim, before + part_s)
-    return lost + WAIT_COST * time.reading_s
+    return lost + WAIT_COST * time.prefill_left_s
 
 
 def _pause_loss(aim_s: float, pause_s: float) -> float:
@@ -137,7 +137,9 @@
         return 0.0
     names = {c.name for c in chosen}
     open_now = {
-        c.name for c in candidates if times[c.name].reading_s < SHORT_PART_S
+        c.name
+        for c in candidates
+        if times[c.name].prefill_left_s < SHORT_PART_S
     }
     short = sum(
         w.worth < SHORT_WORTH for c in candidates for w in c.load.writers
--- a/copperloom/decisions/passes.py
+++ b/copperloom/decisions/iterations.py
@@ -12,7 +12,7 @@
 from copperloom import routing
 from copperloom.decisions import inflight
 
-__all__ = ["Timeline", "pass_s", "play", "read_s"]
+__all__ = ["Timeline", "iteration_s", "simulate", "prefill_s"]
 
 # A reading that takes longer than predicted goes on; this share of it counts
 # until its first token shows that it has ended.
@@ -24,16 +24,17 @@
     """What an engine will do next, as predicted.
 
     Attributes:
-        idle_s: Its pass without any reading.
-        pass_left_s: Time until the pass that runs now ends.
-        pending_s: Reading that came since and that the next pass takes in.
+        decode_only_s: Its pass without any reading.
+        iteration_left_s: Time until the pass that runs now ends.
+        queued_prefill_s: Reading that came since and that the next pass takes
+            in.
         done_s: Time until each reader's prompt or part is read, in order.
         pending: Whether each of them waits for the next pass.
     """
 
-    idle_s: float
-    pass_left_s: float
-    pending_s: float
+    decode_only_s: float
+    iteration_left_s: float
+    queued_prefill_s: float
     done_s: tuple[float, ...]
     pending: tuple[bool, ...]
 
@@ -43,17 +44,19 @@
         return max(self.done_s, default=0.0)
 
 
-def read_s(engine: routing.EngineSpec, tokens: int) -> float:
+def prefill_s(engine: routing.EngineSpec, tokens: int) -> float:
     """Predicts the time to read a prompt at one engine, in seconds.
 
     Each token costs the same, and each pair of a token and an earlier one
     costs a little: long prompts cost with their square.
     """
     pairs = 0.5 * tokens * tokens
-    return tokens / engine.read_tokens_per_s + pairs * engine.pair_s
+    return tokens / engine.prefill_tokens_per_s + pairs * engine.pair_s
 
 
-def pass_s(engine: routing.EngineSpec, writers: int, context: int) -> float:
+def iteration_s(
+    engine: routing.EngineSpec, writers: int, context: int
+) -> float:
     """Predicts a pass without any reading, in seconds.
 
     Args:
@@ -67,7 +70,7 @@
     return engine.stride * step
 
 
-def play(engine: routing.EngineSpec, load: inflight.TargetLoad) -> Timeline:
+def simulate(engine: routing.EngineSpec, load: inflight.TargetLoad) -> Timeline:
     """Predicts what an engine does next from what was sent to it.
 
     An engine that writes takes into a pass all reading that has come by its
@@ -76,7 +79,7 @@
     that writes nothing turns to the newest part at once, and reads whole
     prompts in their order after the parts.
     """
-    idle_s = pass_s(engine, len(load.writers), load.context)
+    idle_s = iteration_s(engine, len(load.writers), load.context)
     if not load.writers:
         return _play_reading(idle_s, load.readers)
     return _play_passes(idle_s, load.readers)
--- a/copperloom/decisions/pace.py
+++ b/copperloom/decisions/pace.py
@@ -9,7 +9,7 @@
 import collections
 
 from copperloom import routing
-from copperloom.decisions import passes
+from copperloom.decisions import iterations
 
 __all__ = ["Pace", "is_slow", "note_pause"]
 
@@ -49,7 +49,7 @@
     if len(pace.pauses) < PAUSES:
         return False
     context = int(engine.kv_tokens * BUSY_SHARE) + prompt_tokens
-    full_s = passes.pass_s(engine, engine.slots, context)
+    full_s = iterations.iteration_s(engine, engine.slots, context)
     if min(pace.pauses) < SLOW_FACTOR * full_s:
         return False
     pace.pauses.clear()
--- a/copperloom/decisions/spread.py
+++ b/copperloom/decisions/spread.py
@@ -17,7 +17,7 @@
 import random
 
 from copperloom import routing
-from copperloom.decisions import interference, passes, plans
+from copperloom.decisions import interference, iterations, plans
 
 __all__ = ["draw", "is_refused", "plan_prompt", "plan_service", "sample"]
 
@@ -87,8 +87,8 @@
         leads = [c for c in leads if c.name in may_lead]
     if not leads:
         return None
-    total_s = passes.read_s(engine, prompt.tokens)
-    times = {c.name: passes.play(engine, c.load) for c in candidates}
+    total_s = iterations.prefill_s(engine, prompt.tokens)
+    times = {c.name: iterations.simulate(engine, c.load) for c in candidates}
     known = {
         c.name: interference.decode_loss(c, times[c.name]) for c in candidates
     }
@@ -283,7 +283,7 @@
     """Predicts the time to the first token, waiting until now included."""
     in_parts = len(chosen) > 1
     ready = max(_ready(c, times[c.name], part_s, in_parts) for c in chosen)
-    own = passes.pass_s(
+    own = iterations.iteration_s(
         engine,
         len(lead.load.writers) + 1,
         lead.load.context + prompt.tokens // len(chosen),
@@ -292,12 +292,15 @@
 
 
 def _ready(
-    tgt: plans.Candidate, time: passes.Timeline, part_s: float, in_parts: bool
+    tgt: plans.Candidate,
+    time: iterations.Timeline,
+    part_s: float,
+    in_parts: bool,
 ) -> float:
     """Predicts when a target has read a part that is sent now."""
     if tgt.load.writers:
-        return time.pass_left_s + time.pending_s + part_s
-    return part_s if in_parts else time.reading_s + part_s
+        return time.iteration_left_s + time.queued_prefill_s + part_s
+    return part_s if in_parts else time.prefill_left_s + part_s
 
 
 def _lead_cost(engine: routing.EngineSpec, tgt: plans.Candidate) -> float:
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -1,8 +1,8 @@
 """A small emulator of model engines, to play a load against placement.
 
-It works as `copperloom.decisions.passes` says engines do, pass by pass, with a
-clock of its own, and tells what callers get: when the first token came, and the
-longest pause.
+It works as `copperloom.decisions.iterations` says engines do, pass by pass,
+with a clock of its own, and tells what callers get: when the first token came,
+and the longest pause.
 """
 
 import collections
@@ -13,7 +13,13 @@
 from collections.abc import Callable, Iterator
 
 from copperloom import routing
-from copperloom.decisions import choice, inflight, inflight_table, passes, plans
+from copperloom.decisions import (
+    choice,
+    inflight,
+    inflight_table,
+    iterations,
+    plans,
+)
 
 __all__ = ["Arrival", "Served", "least_requests", "play", "spread_by_harm"]
 
@@ -100,7 +106,7 @@
 
     def place(prompt, candidates):
         best = min(candidates, key=lambda c: c.load.requests)
-        read_s = passes.read_s(spec, prompt.tokens)
+        read_s = iterations.prefill_s(spec, prompt.tokens)
         return plans.Plan(best.name, (), read_s, 0.0, 0.0)
 
     return place
@@ -227,7 +233,7 @@
             return
         engine.busy = True
         context = sum(s.arrival.prompt.tokens for s in engine.writing)
-        length = passes.pass_s(self.spec, len(engine.writing), context)
+        length = iterations.iteration_s(self.spec, len(engine.writing), context)
         if not engine.writing:
             # It reads one prompt, and looks anew after each piece which one.
             engine.taken = [_next(engine.reading)]
--- a/copperloom/decisions/tests/sheets.py
+++ b/copperloom/decisions/tests/sheets.py
@@ -11,7 +11,7 @@
 import random
 
 from copperloom import routing
-from copperloom.decisions import passes, plans
+from copperloom.decisions import iterations, plans
 from copperloom.decisions.tests import emulator
 
 __all__ = ["SHEETS", "Kind", "Sheet", "arrivals", "offered", "worth_share"]
@@ -80,7 +80,7 @@
         step_s=0.00085,
         per_sequence_s=0.00000425,
         context_s=0.00285e-6,
-        read_tokens_per_s=177_000.0,
+        prefill_tokens_per_s=177_000.0,
         pair_s=0.184e-9,
         chunk_tokens=2048,
         hop_s=0.00005,
@@ -138,7 +138,7 @@
         step_s=0.000925,
         per_sequence_s=0.00000483,
         context_s=0.00254e-6,
-        read_tokens_per_s=256_000.0,
+        prefill_tokens_per_s=256_000.0,
         pair_s=0.0917e-9,
         chunk_tokens=2048,
         hop_s=0.0001,
@@ -156,7 +156,7 @@
     """Returns engines that read and write so many times as fast."""
     return dataclasses.replace(
         spec,
-        read_tokens_per_s=spec.read_tokens_per_s * reads,
+        prefill_tokens_per_s=spec.prefill_tokens_per_s * reads,
         pair_s=spec.pair_s / reads,
         step_s=spec.step_s / steps,
     )
@@ -291,6 +291,6 @@
     sums: dict[int, float] = {}
     for arrival in load:
         window = int(arrival.at // window_s)
-        read_s = passes.read_s(sheet.spec, arrival.prompt.tokens)
+        read_s = iterations.prefill_s(sheet.spec, arrival.prompt.tokens)
         sums[window] = sums.get(window, 0.0) + read_s
     return max(sums.values()) / (window_s * sheet.engines)
--- a/copperloom/decisions/tests/test_pace.py
+++ b/copperloom/decisions/tests/test_pace.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from copperloom.decisions import pace, passes
+from copperloom.decisions import iterations, pace
 from copperloom.decisions.tests.test_spread import ENGINE
 
-_IDLE_S = passes.pass_s(ENGINE, 1, 5000)
+_IDLE_S = iterations.iteration_s(ENGINE, 1, 5000)
 _READING_S = 0.14
 
 
@@ -29,5 +29,7 @@
         self.assertNotIn(True, _seen(busy * 4))
 
     def test_full_engine(self):
-        full_s = passes.pass_s(ENGINE, ENGINE.slots, ENGINE.kv_tokens // 4)
+        full_s = iterations.iteration_s(
+            ENGINE, ENGINE.slots, ENGINE.kv_tokens // 4
+        )
         self.assertNotIn(True, _seen([full_s] * 10))
--- a/copperloom/decisions/tests/test_spread.py
+++ b/copperloom/decisions/tests/test_spread.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from copperloom.decisions import inflight, passes, plans, spread
+from copperloom.decisions import inflight, iterations, plans, spread
 from copperloom.decisions.tests import sheets
 
 ENGINE = sheets.SHEETS["wroclaw"].spec
@@ -195,7 +195,7 @@
 class PassesTest(unittest.TestCase):
     def test_figures_of_prompts(self):
         for tokens, wanted in ((5000, 0.03), (45_000, 0.44), (154_000, 3.05)):
-            got = passes.read_s(ENGINE, tokens)
+            got = iterations.prefill_s(ENGINE, tokens)
             self.assertAlmostEqual(got, wanted, delta=0.03 * wanted + 0.002)
 
     def test_pass_that_runs_is_not_lengthened(self):
@@ -206,19 +206,19 @@
         running = inflight.Reader(0.3, 1.0, 2.0, 5.0, True, None)
         late = inflight.Reader(0.1, 0.2, 2.0, 5.0, True, None)
         load = dataclasses.replace(_writing(2), readers=(running, late))
-        time = passes.play(ENGINE, load)
-        self.assertAlmostEqual(time.pass_left_s, 0.75, delta=0.06)
-        self.assertAlmostEqual(time.pending_s, 0.2)
+        time = iterations.simulate(ENGINE, load)
+        self.assertAlmostEqual(time.iteration_left_s, 0.75, delta=0.06)
+        self.assertAlmostEqual(time.queued_prefill_s, 0.2)
         self.assertEqual(time.pending, (False, True))
-        self.assertGreater(time.done_s[1], time.pass_left_s)
+        self.assertGreater(time.done_s[1], time.iteration_left_s)
 
     def test_engine_that_only_reads_turns_to_the_newest_part(self):
         old = inflight.Reader(0.5, 1.0, 2.0, 5.0, True, None)
         new = inflight.Reader(0.2, 1.0, 2.0, 5.0, True, None)
-        time = passes.play(ENGINE, _load(readers=(old, new)))
+        time = iterations.simulate(ENGINE, _load(readers=(old, new)))
         self.assertAlmostEqual(time.done_s[1], 0.8)
         self.assertAlmostEqual(time.done_s[0], 0.8 + 0.7)
 
     def test_idle_engine(self):
-        time = passes.play(ENGINE, inflight.TargetLoad())
-        self.assertEqual(time.reading_s, 0.0)
+        time = iterations.simulate(ENGINE, inflight.TargetLoad())
+        self.assertEqual(time.prefill_left_s, 0.0)
--- a/copperloom/decisions/tests/test_waiting.py
+++ b/copperloom/decisions/tests/test_waiting.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import inflight, passes, plans, spread, waiting
+from copperloom.decisions import inflight, iterations, plans, spread, waiting
 from copperloom.decisions.tests import peaks, sheets
 from copperloom.decisions.tests.test_spread import ENGINE
 
@@ -97,10 +97,10 @@
         load = inflight.TargetLoad(
             parts=2, readers=(_reader(1.0, 0.4), _reader(0.5, 0.1))
         )
-        ends = sorted(passes.play(ENGINE, load).done_s)
+        ends = sorted(iterations.simulate(ENGINE, load).done_s)
         later = waiting.advance(ENGINE, load, 0.2)
         for before, after in zip(
-            ends, sorted(passes.play(ENGINE, later).done_s), strict=True
+            ends, sorted(iterations.simulate(ENGINE, later).done_s), strict=True
         ):
             self.assertAlmostEqual(before - 0.2, after, places=2)
 
--- a/copperloom/decisions/waiting.py
+++ b/copperloom/decisions/waiting.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from copperloom import routing
-from copperloom.decisions import inflight, passes, plans, spread
+from copperloom.decisions import inflight, iterations, plans, spread
 
 __all__ = ["advance", "wait_s"]
 
@@ -74,7 +74,7 @@
     """Predicts an engine's load some time later, if nothing more comes."""
     if not load.readers:
         return load
-    time = passes.play(engine, load)
+    time = iterations.simulate(engine, load)
     readers = []
     writers = list(load.writers)
     start_s = 0.0
--- a/copperloom/platform/decoding.py
+++ b/copperloom/platform/decoding.py
@@ -164,7 +164,7 @@
         step_s=own.step_ms / _MS,
         per_sequence_s=own.per_seq_ms / _MS,
         context_s=own.context_per_k / _MS / 1000.0,
-        read_tokens_per_s=own.read_per_s,
+        prefill_tokens_per_s=own.read_per_s,
         pair_s=own.pairs_per_m / _MS / _MILLION,
         chunk_tokens=max(1, own.chunk),
         hop_s=own.hop_ms / _MS,
--- a/copperloom/routing.py
+++ b/copperloom/routing.py
@@ -96,7 +96,7 @@
         step_s: Time of a step.
         per_sequence_s: Added to a step by each answer being written.
         context_s: Added to a step by each token of an answer's context.
-        read_tokens_per_s: Prompt tokens read in a second.
+        prefill_tokens_per_s: Prompt tokens read in a second.
         pair_s: Added by each pair of a prompt token and an earlier one.
         chunk_tokens: Most prompt tokens read in a step.
         hop_s: Added to a step of an answer whose prompt was read in parts.
@@ -110,7 +110,7 @@
     step_s: float
     per_sequence_s: float
     context_s: float
-    read_tokens_per_s: float
+    prefill_tokens_per_s: float
     pair_s: float
     chunk_tokens: int
     hop_s: float = 0.0
