--- a/copperloom/decisions/inflight.py
+++ b/copperloom/decisions/inflight.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Iterable
 
-__all__ = ["Reader", "TargetLoad", "Work", "Writer", "total"]
+__all__ = ["Prefill", "TargetLoad", "Work", "Decode", "total"]
 
 # A reading that is this much overdue counts no longer: the caller's own
 # patience ends it, and its target is most likely not working.
@@ -17,32 +17,32 @@
 
     Attributes:
         target: The target's name.
-        reads_s: Predicted time of the reading there, 0 for plain services.
-        writes: Whether the target also writes the answer.
+        prefill_s: Predicted time of the reading there, 0 for plain services.
+        generates: Whether the target also writes the answer.
         tokens: Memory held there, in tokens.
         pause_aim_s: Longest pause that the caller accepts.
-        begun: Monotonic time at which it was sent.
-        writing: Whether its first token has come, so that reading is over.
+        started_at: Monotonic time at which it was sent.
+        decoding: Whether its first token has come, so that reading is over.
         worth: What its caller has at stake, in units of a short prompt.
         due_s: Time from `begun` until its first token should come.
-        in_parts: Whether several targets read the prompt; they read such
+        is_split: Whether several targets read the prompt; they read such
             parts before whole prompts.
     """
 
     target: str
-    reads_s: float
-    writes: bool
+    prefill_s: float
+    generates: bool
     tokens: int
     pause_aim_s: float
-    begun: float
-    writing: bool = False
+    started_at: float
+    decoding: bool = False
     worth: float = 1.0
     due_s: float = 1.0
-    in_parts: bool = False
+    is_split: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Writer:
+class Decode:
     """An answer that is being written.
 
     Attributes:
@@ -55,24 +55,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reader:
+class Prefill:
     """A prompt or part that is being read.
 
     Attributes:
         age_s: Time since it was sent.
-        reads_s: Predicted time of the reading alone.
+        prefill_s: Predicted time of the reading alone.
         due_s: Time from now until its first token should come.
         worth: What its caller has at stake.
-        in_parts: Whether it is a part of a prompt.
+        is_split: Whether it is a part of a prompt.
         pause_aim_s: Longest pause that its caller accepts once its answer is
             written here; None if it is written elsewhere.
     """
 
     age_s: float
-    reads_s: float
+    prefill_s: float
     due_s: float
     worth: float
-    in_parts: bool
+    is_split: bool
     pause_aim_s: float | None
 
 
@@ -83,16 +83,16 @@
     Attributes:
         requests: Requests that write or will write there, or are called.
         parts: Requests that it only reads a part for.
-        readers: Prompts and parts that are being read, the oldest first.
-        writers: Answers that are being written.
+        prefills: Prompts and parts that are being read, the oldest first.
+        decodes: Answers that are being written.
         context: Tokens of context of the answers being written.
         tokens: Memory held.
     """
 
     requests: int = 0
     parts: int = 0
-    readers: tuple[Reader, ...] = ()
-    writers: tuple[Writer, ...] = ()
+    prefills: tuple[Prefill, ...] = ()
+    decodes: tuple[Decode, ...] = ()
     context: int = 0
     tokens: int = 0
 
@@ -107,29 +107,29 @@
     works = list(works)
     # Each step of an answer needs the engines that hold a share of its memory,
     # so they count as its writers too.
-    writing = [w for w in works if w.writing and (w.writes or w.tokens)]
+    writing = [w for w in works if w.decoding and (w.generates or w.tokens)]
     reading = [
         w
         for w in works
-        if not w.writing
-        and w.reads_s > 0
-        and now - w.begun < _OVERDUE_FACTOR * w.reads_s + _OVERDUE_S
+        if not w.decoding
+        and w.prefill_s > 0
+        and now - w.started_at < _OVERDUE_FACTOR * w.prefill_s + _OVERDUE_S
     ]
     return TargetLoad(
-        requests=sum(w.writes for w in works),
-        parts=sum(not w.writes and not w.writing for w in works),
-        readers=tuple(
-            Reader(
-                age_s=now - w.begun,
-                reads_s=w.reads_s,
-                due_s=w.begun + w.due_s - now,
+        requests=sum(w.generates for w in works),
+        parts=sum(not w.generates and not w.decoding for w in works),
+        prefills=tuple(
+            Prefill(
+                age_s=now - w.started_at,
+                prefill_s=w.prefill_s,
+                due_s=w.started_at + w.due_s - now,
                 worth=w.worth,
-                in_parts=w.in_parts,
-                pause_aim_s=w.pause_aim_s if w.writes else None,
+                is_split=w.is_split,
+                pause_aim_s=w.pause_aim_s if w.generates else None,
             )
-            for w in sorted(reading, key=lambda w: w.begun)
+            for w in sorted(reading, key=lambda w: w.started_at)
         ),
-        writers=tuple(Writer(w.pause_aim_s, w.worth) for w in writing),
+        decodes=tuple(Decode(w.pause_aim_s, w.worth) for w in writing),
         context=sum(w.tokens for w in writing),
         tokens=sum(w.tokens for w in works),
     )
--- a/copperloom/decisions/inflight_table.py
+++ b/copperloom/decisions/inflight_table.py
@@ -131,9 +131,9 @@
         return
     before = table.own[request]
     table.own[request] = tuple(
-        dataclasses.replace(w, writing=True)
+        dataclasses.replace(w, decoding=True)
         for w in before
-        if w.writes or w.tokens
+        if w.generates or w.tokens
     )
     _drop(table, ("", request), before)
     _add(table, ("", request), table.own[request])
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -56,19 +56,19 @@
     """What a target's writers stand to lose, before anything is added.
 
     Attributes:
-        writers: Pairs of a longest accepted pause and the worth of all answers
+        decodes: Pairs of a longest accepted pause and the worth of all answers
             that have it: a target writes many answers of few kinds.
         lost: The worth that they lose as things are.
     """
 
-    writers: tuple[tuple[float, float], ...]
+    decodes: tuple[tuple[float, float], ...]
     lost: float
 
 
 def decode_loss(tgt: plans.Candidate, time: iterations.Timeline) -> DecodeLoss:
     """Prepares what `prefill_interference` needs of a target."""
     aims: dict[float, float] = {}
-    for writer in tgt.load.writers:
+    for writer in tgt.load.decodes:
         aim = writer.pause_aim_s
         aims[aim] = aims.get(aim, 0.0) + writer.worth
     before = time.decode_only_s + time.queued_prefill_s
@@ -86,13 +86,13 @@
     """Predicts the worth that others lose when a target reads a part."""
     before = time.decode_only_s + time.queued_prefill_s
     lost = -known.lost
-    for aim, worth in known.writers:
+    for aim, worth in known.decodes:
         lost += worth * _pause_loss(aim, before + part_s)
     # An engine that writes takes a part into its next pass; one that only
     # reads puts parts before all else, and whole prompts after it.
-    shifts = bool(tgt.load.writers) or in_parts
+    shifts = bool(tgt.load.decodes) or in_parts
     for reader, done, pending in zip(
-        tgt.load.readers, time.done_s, time.pending, strict=True
+        tgt.load.prefills, time.done_s, time.pending, strict=True
     ):
         if shifts and pending:
             limit = reader.due_s - time.decode_only_s
@@ -100,7 +100,7 @@
             lost += reader.worth * more * LATE_LOSS + part_s * WAIT_COST
         # A prompt in the pass that runs writes from the next one on, and so
         # does one that is nearly read: the part comes after its first token.
-        in_pass = bool(tgt.load.writers) and not pending
+        in_pass = bool(tgt.load.decodes) and not pending
         if reader.pause_aim_s is not None and (in_pass or done < SOON_WRITES_S):
             aim = reader.pause_aim_s
             lost += reader.worth * _pause_loss(aim, before + part_s)
@@ -142,7 +142,7 @@
         if times[c.name].prefill_left_s < SHORT_PART_S
     }
     short = sum(
-        w.worth < SHORT_WORTH for c in candidates for w in c.load.writers
+        w.worth < SHORT_WORTH for c in candidates for w in c.load.decodes
     )
     before = _turned_late(engine, len(open_now), short)
     after = _turned_late(engine, len(open_now - names), short)
--- a/copperloom/decisions/iterations.py
+++ b/copperloom/decisions/iterations.py
@@ -79,10 +79,10 @@
     that writes nothing turns to the newest part at once, and reads whole
     prompts in their order after the parts.
     """
-    idle_s = iteration_s(engine, len(load.writers), load.context)
-    if not load.writers:
-        return _play_reading(idle_s, load.readers)
-    return _play_passes(idle_s, load.readers)
+    idle_s = iteration_s(engine, len(load.decodes), load.context)
+    if not load.decodes:
+        return _play_reading(idle_s, load.prefills)
+    return _play_passes(idle_s, load.prefills)
 
 
 def _play_passes(idle_s: float, readers) -> Timeline:
@@ -105,7 +105,7 @@
     while waiting and end <= 0.0:
         end = _close_pass(readers, done, waiting, end, idle_s)
     left = end if end > 0.0 else idle_s / 2
-    pending_s = sum(readers[i].reads_s for i in waiting)
+    pending_s = sum(readers[i].prefill_s for i in waiting)
     for index in waiting:
         pending[index] = True
         done[index] = left + idle_s + pending_s
@@ -116,10 +116,10 @@
 
 def _close_pass(readers, done, waiting, start, idle_s) -> float:
     """Runs the pass that takes in all that waits; returns its end."""
-    reads_s = sum(readers[i].reads_s for i in waiting)
+    reads_s = sum(readers[i].prefill_s for i in waiting)
     end = start + idle_s + reads_s
     for index in waiting:
-        done[index] = max(end, readers[index].reads_s * _LEAST_LEFT)
+        done[index] = max(end, readers[index].prefill_s * _LEAST_LEFT)
     waiting.clear()
     return end
 
@@ -129,8 +129,8 @@
     order = sorted(
         range(len(readers)),
         key=lambda i: (
-            not readers[i].in_parts,
-            readers[i].age_s if readers[i].in_parts else -readers[i].age_s,
+            not readers[i].is_split,
+            readers[i].age_s if readers[i].is_split else -readers[i].age_s,
         ),
     )
     left = _reading_left(readers)
@@ -146,17 +146,17 @@
     """Plays the readings from the first on; each new part goes ahead."""
     left: list[float] = []
     for index, reader in enumerate(readers):
-        left.append(reader.reads_s)
+        left.append(reader.prefill_s)
         until = readers[index + 1].age_s if index + 1 < len(readers) else 0.0
         spent = reader.age_s - until
         # Parts from the newest on, then whole prompts from the oldest on.
-        stack = [i for i in range(index, -1, -1) if readers[i].in_parts]
-        stack += [i for i in range(index + 1) if not readers[i].in_parts]
+        stack = [i for i in range(index, -1, -1) if readers[i].is_split]
+        stack += [i for i in range(index + 1) if not readers[i].is_split]
         for at in stack:
             used = min(spent, left[at])
             left[at] -= used
             spent -= used
     return [
-        max(value, reader.reads_s * _LEAST_LEFT)
+        max(value, reader.prefill_s * _LEAST_LEFT)
         for value, reader in zip(left, readers, strict=True)
     ]
--- a/copperloom/decisions/overflow.py
+++ b/copperloom/decisions/overflow.py
@@ -51,7 +51,7 @@
         count += 1
         taken += candidate.load.requests
         slots += candidate.slots
-        reading_s += sum(r.reads_s for r in candidate.load.readers)
+        reading_s += sum(r.prefill_s for r in candidate.load.prefills)
     if not count:
         return 1.0
     return taken / max(1, slots) + reading_s / count
--- a/copperloom/decisions/query.py
+++ b/copperloom/decisions/query.py
@@ -63,18 +63,18 @@
     held = {hold.target: hold.tokens for hold in plan.holds}
     lead = inflight.Work(
         target=plan.lead,
-        reads_s=plan.part_s,
-        writes=True,
+        prefill_s=plan.part_s,
+        generates=True,
         tokens=max(0, query.held_tokens - sum(held.values())),
         pause_aim_s=prompt.pause_aim_s if prompt else 0.0,
-        begun=now,
+        started_at=now,
         worth=plans.worth(prompt.tokens if prompt else 0),
         due_s=prompt.first_token_aim_s - prompt.waited_s if prompt else 0.0,
-        in_parts=bool(plan.helpers),
+        is_split=bool(plan.helpers),
     )
     parts = [
         dataclasses.replace(
-            lead, target=name, writes=False, tokens=held.get(name, 0)
+            lead, target=name, generates=False, tokens=held.get(name, 0)
         )
         for name in plan.helpers
     ]
--- a/copperloom/decisions/spread.py
+++ b/copperloom/decisions/spread.py
@@ -164,7 +164,7 @@
 
 
 def _busyness(tgt: plans.Candidate) -> float:
-    reading_s = sum(r.reads_s for r in tgt.load.readers)
+    reading_s = sum(r.prefill_s for r in tgt.load.prefills)
     return tgt.penalty + tgt.load.requests / max(1, tgt.slots) + reading_s
 
 
@@ -285,7 +285,7 @@
     ready = max(_ready(c, times[c.name], part_s, in_parts) for c in chosen)
     own = iterations.iteration_s(
         engine,
-        len(lead.load.writers) + 1,
+        len(lead.load.decodes) + 1,
         lead.load.context + prompt.tokens // len(chosen),
     )
     return prompt.waited_s + ready + own
@@ -298,7 +298,7 @@
     in_parts: bool,
 ) -> float:
     """Predicts when a target has read a part that is sent now."""
-    if tgt.load.writers:
+    if tgt.load.decodes:
         return time.iteration_left_s + time.queued_prefill_s + part_s
     return part_s if in_parts else time.prefill_left_s + part_s
 
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -85,7 +85,7 @@
         self.admitted = 0
         self.queue: collections.deque[_Reading] = collections.deque()
         self.reading: list[_Reading] = []
-        self.writing: list[Served] = []
+        self.decoding: list[Served] = []
         self.busy = False
 
 
@@ -180,7 +180,7 @@
         names = (plan.lead, *plan.helpers)
         served.left = len(names)
         served.lead = plan.lead
-        served.begun = now
+        served.started_at = now
         self._note(now, served, plan, names)
         for name in names:
             reading = _Reading(served, plan.part_s, len(names) > 1)
@@ -192,7 +192,7 @@
         known = inflight_table.InflightTable()
         for request, work in self.board.own.items():
             served = self.placed[request]
-            told = served.begun <= now - self.told_after_s
+            told = served.started_at <= now - self.told_after_s
             if told or served.instance == instance:
                 inflight_table.begin(known, request, work)
         return known
@@ -214,14 +214,14 @@
             [
                 inflight.Work(
                     target=name,
-                    reads_s=plan.part_s,
-                    writes=name == plan.lead,
+                    prefill_s=plan.part_s,
+                    generates=name == plan.lead,
                     tokens=prompt.tokens if name == plan.lead else 0,
                     pause_aim_s=prompt.pause_aim_s,
-                    begun=now,
+                    started_at=now,
                     worth=plans.worth(prompt.tokens),
                     due_s=prompt.first_token_aim_s - (now - served.arrival.at),
-                    in_parts=len(names) > 1,
+                    is_split=len(names) > 1,
                 )
                 for name in names
             ],
@@ -229,12 +229,14 @@
 
     def start_pass(self, now: float, name: str) -> None:
         engine = self.engines[name]
-        if engine.busy or not (engine.reading or engine.writing):
+        if engine.busy or not (engine.reading or engine.decoding):
             return
         engine.busy = True
-        context = sum(s.arrival.prompt.tokens for s in engine.writing)
-        length = iterations.iteration_s(self.spec, len(engine.writing), context)
-        if not engine.writing:
+        context = sum(s.arrival.prompt.tokens for s in engine.decoding)
+        length = iterations.iteration_s(
+            self.spec, len(engine.decoding), context
+        )
+        if not engine.decoding:
             # It reads one prompt, and looks anew after each piece which one.
             engine.taken = [_next(engine.reading)]
             length = min(_PIECE_S, engine.taken[0].left_s)
@@ -250,12 +252,12 @@
     def end_pass(self, now: float, name: str) -> None:
         engine = self.engines[name]
         engine.busy = False
-        for served in list(engine.writing):
+        for served in list(engine.decoding):
             served.events += 1
             served.pause_s = max(served.pause_s, now - served.last_at)
             served.last_at = now
             if served.events >= _EVENTS:
-                engine.writing.remove(served)
+                engine.decoding.remove(served)
                 inflight_table.end(self.board, str(id(served)))
                 engine.admitted -= 1
                 if engine.queue:
@@ -272,7 +274,7 @@
         served.first_s = now - served.arrival.at
         served.last_at = now
         inflight_table.mark_decoding(self.board, str(id(served)))
-        self.engines[served.lead].writing.append(served)
+        self.engines[served.lead].decoding.append(served)
         self.start_pass(now, served.lead)
 
 
@@ -281,7 +283,7 @@
 
     The newest part; only without parts, the oldest whole prompt.
     """
-    parts = [r for r in reading if r.in_parts]
+    parts = [r for r in reading if r.is_split]
     return parts[-1] if parts else reading[0]
 
 
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -19,7 +19,7 @@
         "tokens": 1000,
         "pause_aim_s": 0.25,
     }
-    return inflight.Work(target=target, begun=begun, **given | changes)
+    return inflight.Work(target=target, started_at=begun, **given | changes)
 
 
 def _told(sequence: int = 1, boot: str = "a", at: float = 0.0, *work):
@@ -30,7 +30,7 @@
     def test_own_and_peers_work_add_up(self):
         b = inflight_table.InflightTable()
         inflight_table.begin(
-            b, "q1", [_work(), _work("e1", writes=False, tokens=0)]
+            b, "q1", [_work(), _work("e1", generates=False, tokens=0)]
         )
         inflight_table.apply_update(b, "peer", _told(1, "a", 0.0, _work()))
         loads = inflight_table.loads(b, 0.1)
@@ -41,13 +41,13 @@
     def test_first_token_ends_the_parts(self):
         b = inflight_table.InflightTable()
         inflight_table.begin(
-            b, "q1", [_work(), _work("e1", writes=False, tokens=0)]
+            b, "q1", [_work(), _work("e1", generates=False, tokens=0)]
         )
         inflight_table.mark_decoding(b, "q1")
         loads = inflight_table.loads(b, 0.1)
         self.assertNotIn("e1", loads)
-        self.assertEqual(len(loads["e0"].writers), 1)
-        self.assertEqual(loads["e0"].readers, ())
+        self.assertEqual(len(loads["e0"].decodes), 1)
+        self.assertEqual(loads["e0"].prefills, ())
 
     def test_silent_peer_fades(self):
         """A peer dies; its work must not keep targets unused for ever."""
@@ -84,9 +84,9 @@
 
     def test_holders_of_memory_write_too(self):
         b = inflight_table.InflightTable()
-        inflight_table.begin(b, "q1", [_work(), _work("e1", writes=False)])
+        inflight_table.begin(b, "q1", [_work(), _work("e1", generates=False)])
         inflight_table.mark_decoding(b, "q1")
-        self.assertEqual(len(inflight_table.loads(b, 0.1)["e1"].writers), 1)
+        self.assertEqual(len(inflight_table.loads(b, 0.1)["e1"].decodes), 1)
 
     def test_placement_for_a_peer_counts_until_it_tells(self):
         """Two peers ask for a place within the time of a message."""
--- a/copperloom/decisions/tests/test_overflow.py
+++ b/copperloom/decisions/tests/test_overflow.py
@@ -41,8 +41,8 @@
         self.assertIsNone(_elsewhere(None, 1.0))
 
     def test_busyness_counts_slots_and_reading(self):
-        reader = inflight.Reader(0.0, 0.5, 1.0, 1.0, False, None)
-        load = inflight.TargetLoad(requests=2, readers=(reader,))
+        reader = inflight.Prefill(0.0, 0.5, 1.0, 1.0, False, None)
+        load = inflight.TargetLoad(requests=2, prefills=(reader,))
         idle = plans.Candidate("a", inflight.TargetLoad(), 0.0, 4)
         busy = plans.Candidate("b", load, 0.0, 4)
         self.assertAlmostEqual(overflow.busyness([idle, busy]), 0.5)
--- a/copperloom/decisions/tests/test_spread.py
+++ b/copperloom/decisions/tests/test_spread.py
@@ -39,13 +39,13 @@
 
 
 def _writing(count: int, pause_s: float = 0.25) -> inflight.TargetLoad:
-    writers = (inflight.Writer(pause_s, 1.0),) * count
-    return _load(requests=count, writers=writers, context=6000 * count)
+    writers = (inflight.Decode(pause_s, 1.0),) * count
+    return _load(requests=count, decodes=writers, context=6000 * count)
 
 
 def _reading(reads_s: float, age_s: float = 0.0) -> inflight.TargetLoad:
-    reader = inflight.Reader(age_s, reads_s, 3.0, 13.0, True, None)
-    return _load(requests=1, readers=(reader,))
+    reader = inflight.Prefill(age_s, reads_s, 3.0, 13.0, True, None)
+    return _load(requests=1, prefills=(reader,))
 
 
 class PlanTest(unittest.TestCase):
@@ -86,9 +86,9 @@
         would be its first pause. Another engine writes as much and reads
         nothing.
         """
-        reading = inflight.Reader(0.2, 1.2, 2.0, 16.0, True, 1.0)
+        reading = inflight.Prefill(0.2, 1.2, 2.0, 16.0, True, 1.0)
         busy = dataclasses.replace(
-            _writing(2), requests=3, readers=(reading,), tokens=154_000
+            _writing(2), requests=3, prefills=(reading,), tokens=154_000
         )
         engines = _engines(2, e0=busy, e1=_writing(2))
         plan = spread.plan_prompt(ENGINE, LONG, engines)
@@ -169,8 +169,8 @@
         caller; refused, it would come back and be later. That engines are busy
         costs nobody anything by itself.
         """
-        part = inflight.Reader(0.0, 0.6, 9.0, 5.0, True, None)
-        load = _load(parts=1, readers=(part,))
+        part = inflight.Prefill(0.0, 0.6, 9.0, 5.0, True, None)
+        load = _load(parts=1, prefills=(part,))
         engines = _engines(14, **{f"e{n}": load for n in range(14)})
         prompt = dataclasses.replace(LONG, tokens=290_000, waited_s=2.4)
         plan = spread.plan_prompt(ENGINE, prompt, engines)
@@ -203,9 +203,9 @@
 
         It waits for the next pass, and so do the prompts sent after it.
         """
-        running = inflight.Reader(0.3, 1.0, 2.0, 5.0, True, None)
-        late = inflight.Reader(0.1, 0.2, 2.0, 5.0, True, None)
-        load = dataclasses.replace(_writing(2), readers=(running, late))
+        running = inflight.Prefill(0.3, 1.0, 2.0, 5.0, True, None)
+        late = inflight.Prefill(0.1, 0.2, 2.0, 5.0, True, None)
+        load = dataclasses.replace(_writing(2), prefills=(running, late))
         time = iterations.simulate(ENGINE, load)
         self.assertAlmostEqual(time.iteration_left_s, 0.75, delta=0.06)
         self.assertAlmostEqual(time.queued_prefill_s, 0.2)
@@ -213,9 +213,9 @@
         self.assertGreater(time.done_s[1], time.iteration_left_s)
 
     def test_engine_that_only_reads_turns_to_the_newest_part(self):
-        old = inflight.Reader(0.5, 1.0, 2.0, 5.0, True, None)
-        new = inflight.Reader(0.2, 1.0, 2.0, 5.0, True, None)
-        time = iterations.simulate(ENGINE, _load(readers=(old, new)))
+        old = inflight.Prefill(0.5, 1.0, 2.0, 5.0, True, None)
+        new = inflight.Prefill(0.2, 1.0, 2.0, 5.0, True, None)
+        time = iterations.simulate(ENGINE, _load(prefills=(old, new)))
         self.assertAlmostEqual(time.done_s[1], 0.8)
         self.assertAlmostEqual(time.done_s[0], 0.8 + 0.7)
 
--- a/copperloom/decisions/tests/test_waiting.py
+++ b/copperloom/decisions/tests/test_waiting.py
@@ -15,24 +15,24 @@
 )
 
 
-def _reader(reads_s: float, age_s: float, pause_aim_s=None) -> inflight.Reader:
-    return inflight.Reader(
+def _reader(reads_s: float, age_s: float, pause_aim_s=None) -> inflight.Prefill:
+    return inflight.Prefill(
         age_s=age_s,
-        reads_s=reads_s,
+        prefill_s=reads_s,
         due_s=3.0 - age_s,
         worth=20.0,
-        in_parts=True,
+        is_split=True,
         pause_aim_s=pause_aim_s,
     )
 
 
 def _reading(left_s: float) -> inflight.TargetLoad:
-    return inflight.TargetLoad(parts=1, readers=(_reader(2.5, 2.5 - left_s),))
+    return inflight.TargetLoad(parts=1, prefills=(_reader(2.5, 2.5 - left_s),))
 
 
 def _writing() -> inflight.TargetLoad:
-    writers = (inflight.Writer(0.25, 1.0),) * 6
-    return inflight.TargetLoad(requests=6, writers=writers, context=30_000)
+    writers = (inflight.Decode(0.25, 1.0),) * 6
+    return inflight.TargetLoad(requests=6, decodes=writers, context=30_000)
 
 
 def _engines(reading: int, writing: int, left_s: float):
@@ -84,18 +84,18 @@
 class AdvanceTest(unittest.TestCase):
     def test_part_that_ends_meanwhile_is_gone(self):
         later = waiting.advance(ENGINE, _reading(0.5), 0.6)
-        self.assertEqual(later.readers, ())
+        self.assertEqual(later.prefills, ())
 
     def test_lead_that_ends_meanwhile_writes(self):
         load = inflight.TargetLoad(
-            requests=1, readers=(_reader(1.0, 0.5, 1.0),)
+            requests=1, prefills=(_reader(1.0, 0.5, 1.0),)
         )
         later = waiting.advance(ENGINE, load, 0.6)
-        self.assertEqual(later.writers, (inflight.Writer(1.0, 20.0),))
+        self.assertEqual(later.decodes, (inflight.Decode(1.0, 20.0),))
 
     def test_what_is_left_takes_as_long_as_before(self):
         load = inflight.TargetLoad(
-            parts=2, readers=(_reader(1.0, 0.4), _reader(0.5, 0.1))
+            parts=2, prefills=(_reader(1.0, 0.4), _reader(0.5, 0.1))
         )
         ends = sorted(iterations.simulate(ENGINE, load).done_s)
         later = waiting.advance(ENGINE, load, 0.2)
--- a/copperloom/decisions/waiting.py
+++ b/copperloom/decisions/waiting.py
@@ -72,21 +72,21 @@
     engine: routing.EngineSpec, load: inflight.TargetLoad, by_s: float
 ) -> inflight.TargetLoad:
     """Predicts an engine's load some time later, if nothing more comes."""
-    if not load.readers:
+    if not load.prefills:
         return load
     time = iterations.simulate(engine, load)
     readers = []
-    writers = list(load.writers)
+    writers = list(load.decodes)
     start_s = 0.0
-    by_end = sorted(zip(time.done_s, load.readers, strict=True), key=_end)
+    by_end = sorted(zip(time.done_s, load.prefills, strict=True), key=_end)
     for done_s, reader in by_end:
         if done_s > by_s:
             readers.append(_later(reader, start_s, done_s, by_s))
         elif reader.pause_aim_s is not None:
-            writers.append(inflight.Writer(reader.pause_aim_s, reader.worth))
+            writers.append(inflight.Decode(reader.pause_aim_s, reader.worth))
         start_s = done_s
     return dataclasses.replace(
-        load, readers=tuple(readers), writers=tuple(writers)
+        load, prefills=tuple(readers), decodes=tuple(writers)
     )
 
 
@@ -94,12 +94,12 @@
     return item[0]
 
 
-def _later(reader: inflight.Reader, start_s, done_s, by_s) -> inflight.Reader:
+def _later(reader: inflight.Prefill, start_s, done_s, by_s) -> inflight.Prefill:
     """Returns what is left of a reading."""
     left_s = done_s - max(start_s, by_s)
     return dataclasses.replace(
         reader,
         age_s=0.0,
-        reads_s=min(reader.reads_s, left_s),
+        prefill_s=min(reader.prefill_s, left_s),
         due_s=reader.due_s - by_s,
     )
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -43,15 +43,15 @@
     """A share of a request's work; times in milliseconds."""
 
     target: str
-    reads_ms: int
-    writes: bool
+    prefill_ms: int
+    generates: bool
     tokens: int
     pause_ms: int
     age_ms: int
-    writing: bool
+    decoding: bool
     worth: float
     due_ms: int
-    in_parts: bool
+    is_split: bool
 
 
 class Introduction(msgspec.Struct, array_like=True):
@@ -143,15 +143,15 @@
     """Makes work independent of this instance's clock."""
     return RawWork(
         target=work.target,
-        reads_ms=int(work.reads_s * _MS),
-        writes=work.writes,
+        prefill_ms=int(work.prefill_s * _MS),
+        generates=work.generates,
         tokens=work.tokens,
         pause_ms=int(work.pause_aim_s * _MS),
-        age_ms=int((now - work.begun) * _MS),
-        writing=work.writing,
+        age_ms=int((now - work.started_at) * _MS),
+        decoding=work.decoding,
         worth=round(work.worth, 2),
         due_ms=int(work.due_s * _MS),
-        in_parts=work.in_parts,
+        is_split=work.is_split,
     )
 
 
@@ -159,15 +159,15 @@
     """Puts a peer's work on this instance's clock."""
     return inflight.Work(
         target=raw.target,
-        reads_s=raw.reads_ms / _MS,
-        writes=raw.writes,
+        prefill_s=raw.prefill_ms / _MS,
+        generates=raw.generates,
         tokens=raw.tokens,
         pause_aim_s=raw.pause_ms / _MS,
-        begun=now - raw.age_ms / _MS,
-        writing=raw.writing,
+        started_at=now - raw.age_ms / _MS,
+        decoding=raw.decoding,
         worth=raw.worth,
         due_s=raw.due_ms / _MS,
-        in_parts=raw.in_parts,
+        is_split=raw.is_split,
     )
 
 
--- a/copperloom/ingress/tests/test_owners.py
+++ b/copperloom/ingress/tests/test_owners.py
@@ -286,7 +286,7 @@
         )
         now = asyncio.get_running_loop().time()
         full = [
-            inflight.Work("engine-0", 0.1, True, 5000, 0.25, now, writing=True)
+            inflight.Work("engine-0", 0.1, True, 5000, 0.25, now, decoding=True)
             for _ in range(fixtures.ENGINE["slots"])
         ]
         inflight_table.begin(system.fronts[0].entry.inflight, "q1", full)
