--- a/copperloom/decisions/choice.py
+++ b/copperloom/decisions/choice.py
@@ -1,7 +1,7 @@
 """What becomes of a prompt now: it is placed, held for a moment or refused."""
 
 from copperloom import routing
-from copperloom.decisions import plans, spread, waiting
+from copperloom.decisions import planner, plans, waiting
 
 __all__ = ["choose"]
 
@@ -24,10 +24,10 @@
         is_repeat: Whether it was sent before: it has cost its caller time
             enough, so it is neither held nor refused.
     """
-    plan = spread.plan_prompt(engine, prompt, candidates, may_lead=may_lead)
+    plan = planner.plan_prompt(engine, prompt, candidates, may_lead=may_lead)
     if plan is None or is_repeat:
         return plan
     wait_s = waiting.wait_s(engine, prompt, candidates, plan)
     if wait_s:
         return plans.Wait(wait_s, plan)
-    return plans.Refusal(plan) if spread.is_refused(prompt, plan) else plan
+    return plans.Refusal(plan) if planner.is_refused(prompt, plan) else plan
--- a/copperloom/decisions/spread.py
+++ b/copperloom/decisions/planner.py
@@ -19,24 +19,30 @@
 from copperloom import routing
 from copperloom.decisions import interference, iterations, plans
 
-__all__ = ["draw", "is_refused", "plan_prompt", "plan_service", "sample"]
+__all__ = [
+    "draw_targets",
+    "is_refused",
+    "plan_prompt",
+    "plan_service",
+    "least_loaded",
+]
 
 # An engine takes at most this many helpers for one prompt.
-MOST_HELPERS = 16
+MAX_HELPERS = 16
 # Numbers of parts that are tried, and the largest possible one: between large
 # ones the parts' length hardly differs.
 PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14)
 SHORTEST_PART_S = 0.02
 # Engines weighed for one prompt: twice as many as take part in one.
-MOST_WEIGHED = 34
+MAX_CANDIDATES = 34
 # Targets whose work is summed for one request: the least busy of so many drawn
 # are nearly the least busy of all.
-MOST_DRAWN = 120
+MAX_DRAWN = 120
 # Cost of each part more: an exchange between engines, and one more engine
 # whose loss breaks the request.
 PART_COST = 0.02
 # A prompt whose placement costs others more than it is worth is refused.
-REFUSE_ABOVE = 1.0
+REFUSE_COST_RATIO = 1.0
 # A failure of late costs as much as this many units of worth.
 PENALTY_COST = 0.5
 # Share of its worth that a request risks at a target with one such unit.
@@ -52,7 +58,7 @@
 # Cost of writing at an engine whose memory is full.
 FULL_COST = 0.1
 # Engines in the same data centre are a millisecond nearer.
-NEAR_GAIN = 0.005
+LOCAL_GAIN = 0.005
 # Memory kept free for what peers place at the same moment.
 MEMORY_SLACK_TOKENS = 4000
 
@@ -111,7 +117,7 @@
     return best
 
 
-def draw(
+def draw_targets(
     targets: list[routing.TargetEntry],
     kept: frozenset[str],
     rng: random.Random,
@@ -129,9 +135,9 @@
     Returns:
         All targets if they are few, else MOST_DRAWN of them and those kept.
     """
-    if len(targets) <= MOST_DRAWN:
+    if len(targets) <= MAX_DRAWN:
         return targets
-    drawn = rng.sample(targets, MOST_DRAWN)
+    drawn = rng.sample(targets, MAX_DRAWN)
     if not kept:
         return drawn
     found = {t.name for t in drawn}
@@ -140,7 +146,7 @@
     ]
 
 
-def sample(
+def least_loaded(
     candidates: list[plans.Candidate], rng: random.Random
 ) -> list[plans.Candidate]:
     """Picks the least busy of many engines.
@@ -156,14 +162,14 @@
     Returns:
         At most MOST_WEIGHED of them.
     """
-    if len(candidates) <= MOST_WEIGHED:
+    if len(candidates) <= MAX_CANDIDATES:
         return candidates
     shuffled = rng.sample(candidates, len(candidates))
-    shuffled.sort(key=_busyness)
-    return shuffled[:MOST_WEIGHED]
+    shuffled.sort(key=_load)
+    return shuffled[:MAX_CANDIDATES]
 
 
-def _busyness(tgt: plans.Candidate) -> float:
+def _load(tgt: plans.Candidate) -> float:
     reading_s = sum(r.prefill_s for r in tgt.load.prefills)
     return tgt.penalty + tgt.load.requests / max(1, tgt.slots) + reading_s
 
@@ -175,7 +181,7 @@
     tokens takes 14 engines four seconds, in which every other caller waits.
     Only prompts that would be late anyway are refused for it.
     """
-    limit = plans.worth(prompt.tokens) * REFUSE_ABOVE
+    limit = plans.worth(prompt.tokens) * REFUSE_COST_RATIO
     late = plan.first_token_s > prompt.first_token_aim_s
     return late and prompt.tokens > plans.MIDDLE_TOKENS and plan.cost > limit
 
@@ -223,7 +229,7 @@
     # A caller waits for whole slots: below one request a slot targets are
     # equal but for the way, above it the queue counts.
     load = tgt.load.requests / max(1, tgt.slots)
-    return load + tgt.penalty - (0.05 if tgt.near else 0.0)
+    return load + tgt.penalty - (0.05 if tgt.is_local else 0.0)
 
 
 def _has_room(
@@ -236,7 +242,7 @@
 
 def _part_counts(total_s: float, candidates: int) -> list[int]:
     """Lists the numbers of parts worth trying."""
-    most = min(MOST_HELPERS + 1, candidates)
+    most = min(MAX_HELPERS + 1, candidates)
     # Parts shorter than a fifth of a pass gain less than they cost.
     most = min(most, max(1, math.ceil(total_s / SHORTEST_PART_S)))
     return [n for n in PART_COUNTS if n < most] + [most]
@@ -312,4 +318,4 @@
     taken = tgt.load.requests / (max(1, engine.slots) * PACKED_SHARE)
     full = tgt.load.tokens / engine.kv_tokens
     cost = PACK_COST * (1.0 - min(1.0, taken)) + FULL_COST * full
-    return cost - (NEAR_GAIN if tgt.near else 0.0)
+    return cost - (LOCAL_GAIN if tgt.is_local else 0.0)
--- a/copperloom/decisions/plans.py
+++ b/copperloom/decisions/plans.py
@@ -53,14 +53,14 @@
         load: What it has in progress.
         penalty: Its failures of late.
         slots: Requests that it works on at once.
-        near: Whether it stands in the same data centre.
+        is_local: Whether it stands in the same data centre.
     """
 
     name: str
     load: inflight.TargetLoad
     penalty: float
     slots: int
-    near: bool = False
+    is_local: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/copperloom/decisions/tests/control.py
+++ b/copperloom/decisions/tests/control.py
@@ -27,7 +27,7 @@
 
 import docopt
 
-from copperloom.decisions import choice, spread
+from copperloom.decisions import choice, planner
 from copperloom.decisions.tests import emulator, sheets
 
 __all__ = ["WAYS", "Way", "main", "messages", "play"]
@@ -104,7 +104,9 @@
 def _sampled(sheet: sheets.Sheet, rng: random.Random) -> emulator.Placement:
     def place(prompt, candidates):
         drawn = rng.sample(candidates, len(candidates))
-        return choice.choose(sheet.spec, prompt, spread.sample(drawn, rng))
+        return choice.choose(
+            sheet.spec, prompt, planner.least_loaded(drawn, rng)
+        )
 
     return place
 
--- a/copperloom/decisions/tests/test_peak.py
+++ b/copperloom/decisions/tests/test_peak.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import inflight, plans, spread
+from copperloom.decisions import inflight, planner, plans
 from copperloom.decisions.tests import emulator
 from copperloom.decisions.tests.test_spread import ENGINE, LONG, SHORT
 
@@ -69,7 +69,7 @@
         Short prompts in time without and with gathering: 0.93 and 0.99.
         """
         rates = {SHORT: 20.0, MIDDLE: 1.0, LONG: 0.8}
-        with mock.patch.object(spread, "PACK_COST", 0.0):
+        with mock.patch.object(planner, "PACK_COST", 0.0):
             before = _shares(_play(rates, emulator.spread_by_harm, 2))
         after = _shares(_play(rates, emulator.spread_by_harm, 2))
         self.assertGreater(after["short"], 0.98)
@@ -122,7 +122,7 @@
             for n in range(4)
         ]
         engines[0] = dataclasses.replace(engines[0], penalty=1.0)
-        plan = spread.plan_prompt(ENGINE, SHORT, engines)
+        plan = planner.plan_prompt(ENGINE, SHORT, engines)
         self.assertNotEqual(plan.lead, "e0")
 
 
--- a/copperloom/decisions/tests/test_spread.py
+++ b/copperloom/decisions/tests/test_planner.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from copperloom.decisions import inflight, iterations, plans, spread
+from copperloom.decisions import inflight, iterations, planner, plans
 from copperloom.decisions.tests import sheets
 
 ENGINE = sheets.SHEETS["wroclaw"].spec
@@ -50,25 +50,25 @@
 
 class PlanTest(unittest.TestCase):
     def test_long_prompt_alone_is_in_time(self):
-        plan = spread.plan_prompt(ENGINE, LONG, _engines(14))
+        plan = planner.plan_prompt(ENGINE, LONG, _engines(14))
         self.assertGreaterEqual(len(plan.helpers), 1)
         self.assertLess(plan.first_token_s, LONG.first_token_aim_s)
 
     def test_short_prompt_needs_no_help(self):
-        plan = spread.plan_prompt(ENGINE, SHORT, _engines(14))
+        plan = planner.plan_prompt(ENGINE, SHORT, _engines(14))
         self.assertEqual(plan.helpers, ())
         self.assertLess(plan.first_token_s, 0.1)
 
     def test_short_prompt_goes_where_nothing_long_is_read(self):
         """Load: one engine reads for a second, the other writes answers."""
         engines = _engines(2, e0=_reading(1.0), e1=_writing(4))
-        plan = spread.plan_prompt(ENGINE, SHORT, engines)
+        plan = planner.plan_prompt(ENGINE, SHORT, engines)
         self.assertEqual(plan.lead, "e1")
 
     def test_long_prompt_keeps_away_from_short_writers(self):
         """Load: half of the engines write short answers, half are idle."""
         busy = {f"e{n}": _writing(4) for n in range(7)}
-        plan = spread.plan_prompt(ENGINE, LONG, _engines(14, **busy))
+        plan = planner.plan_prompt(ENGINE, LONG, _engines(14, **busy))
         chosen = {plan.lead, *plan.helpers}
         self.assertFalse(chosen & busy.keys())
 
@@ -76,7 +76,7 @@
         """Load: every engine writes short answers; no pause may break."""
         busy = {f"e{n}": _writing(2) for n in range(14)}
         prompt = dataclasses.replace(LONG, tokens=60_000)
-        plan = spread.plan_prompt(ENGINE, prompt, _engines(14, **busy))
+        plan = planner.plan_prompt(ENGINE, prompt, _engines(14, **busy))
         self.assertLess(plan.part_s, 0.2)
 
     def test_prompt_in_the_running_pass_is_about_to_write(self):
@@ -91,30 +91,30 @@
             _writing(2), requests=3, prefills=(reading,), tokens=154_000
         )
         engines = _engines(2, e0=busy, e1=_writing(2))
-        plan = spread.plan_prompt(ENGINE, LONG, engines)
+        plan = planner.plan_prompt(ENGINE, LONG, engines)
         self.assertEqual((plan.lead, plan.helpers), ("e1", ()))
 
     def test_failing_engine_is_avoided(self):
         engines = _engines(3)
         engines[0] = dataclasses.replace(engines[0], penalty=3.0)
-        plan = spread.plan_prompt(ENGINE, LONG, engines)
+        plan = planner.plan_prompt(ENGINE, LONG, engines)
         self.assertNotIn("e0", (plan.lead, *plan.helpers))
 
     def test_no_free_slot(self):
         full = {f"e{n}": _writing(8) for n in range(2)}
-        plan = spread.plan_prompt(ENGINE, SHORT, _engines(2, **full))
+        plan = planner.plan_prompt(ENGINE, SHORT, _engines(2, **full))
         self.assertIsNone(plan)
 
     def test_memory_is_counted(self):
         """Two long prompts don't fit one engine's memory."""
         held = _load(tokens=200_000)
         engines = _engines(2, e0=held)
-        plan = spread.plan_prompt(ENGINE, LONG, engines)
+        plan = planner.plan_prompt(ENGINE, LONG, engines)
         self.assertEqual(plan.lead, "e1")
 
     def test_larger_than_one_engine(self):
         prompt = dataclasses.replace(LONG, tokens=400_000)
-        plan = spread.plan_prompt(ENGINE, prompt, _engines(14))
+        plan = planner.plan_prompt(ENGINE, prompt, _engines(14))
         held = sum(h.tokens for h in plan.holds)
         need = prompt.tokens + prompt.answer_tokens
         self.assertGreater(held + ENGINE.kv_tokens, need)
@@ -123,10 +123,10 @@
 
     def test_larger_than_all_engines(self):
         prompt = dataclasses.replace(LONG, tokens=700_000)
-        self.assertIsNone(spread.plan_prompt(ENGINE, prompt, _engines(2)))
+        self.assertIsNone(planner.plan_prompt(ENGINE, prompt, _engines(2)))
 
     def test_only_allowed_leads(self):
-        plan = spread.plan_prompt(
+        plan = planner.plan_prompt(
             ENGINE, SHORT, _engines(4), may_lead=frozenset(["e3"])
         )
         self.assertEqual(plan.lead, "e3")
@@ -134,14 +134,14 @@
 
 class SampleTest(unittest.TestCase):
     def test_few_engines_are_all_weighed(self):
-        engines = _engines(spread.MOST_WEIGHED)
-        self.assertIs(spread.sample(engines, random.Random(1)), engines)
+        engines = _engines(planner.MAX_CANDIDATES)
+        self.assertIs(planner.least_loaded(engines, random.Random(1)), engines)
 
     def test_busy_engines_of_many_are_left_out(self):
         """Load: 60 engines, of which 30 write and read."""
         busy = {f"e{n}": _writing(4) for n in range(30)}
-        picked = spread.sample(_engines(60, **busy), random.Random(1))
-        self.assertEqual(len(picked), spread.MOST_WEIGHED)
+        picked = planner.least_loaded(_engines(60, **busy), random.Random(1))
+        self.assertEqual(len(picked), planner.MAX_CANDIDATES)
         free = {f"e{n}" for n in range(30, 60)}
         self.assertLessEqual(free, {c.name for c in picked})
 
@@ -154,13 +154,13 @@
         """
         busy = {f"e{n}": _writing(5) for n in range(13)}
         prompt = dataclasses.replace(LONG, tokens=655_000)
-        plan = spread.plan_prompt(ENGINE, prompt, _engines(13, **busy))
-        self.assertTrue(spread.is_refused(prompt, plan))
+        plan = planner.plan_prompt(ENGINE, prompt, _engines(13, **busy))
+        self.assertTrue(planner.is_refused(prompt, plan))
 
     def test_same_prompt_is_served_when_engines_are_idle(self):
         prompt = dataclasses.replace(LONG, tokens=400_000)
-        plan = spread.plan_prompt(ENGINE, prompt, _engines(14))
-        self.assertFalse(spread.is_refused(prompt, plan))
+        plan = planner.plan_prompt(ENGINE, prompt, _engines(14))
+        self.assertFalse(planner.is_refused(prompt, plan))
 
     def test_late_prompt_is_served_if_others_lose_little(self):
         """Load: all engines read parts that are due in nine seconds.
@@ -173,23 +173,23 @@
         load = _load(parts=1, prefills=(part,))
         engines = _engines(14, **{f"e{n}": load for n in range(14)})
         prompt = dataclasses.replace(LONG, tokens=290_000, waited_s=2.4)
-        plan = spread.plan_prompt(ENGINE, prompt, engines)
+        plan = planner.plan_prompt(ENGINE, prompt, engines)
         self.assertGreater(plan.first_token_s, prompt.first_token_aim_s)
-        self.assertFalse(spread.is_refused(prompt, plan))
+        self.assertFalse(planner.is_refused(prompt, plan))
 
     def test_short_prompts_are_never_too_dear(self):
         busy = {f"e{n}": _reading(5.0) for n in range(14)}
-        plan = spread.plan_prompt(ENGINE, SHORT, _engines(14, **busy))
-        self.assertFalse(spread.is_refused(SHORT, plan))
+        plan = planner.plan_prompt(ENGINE, SHORT, _engines(14, **busy))
+        self.assertFalse(planner.is_refused(SHORT, plan))
 
 
 class ServiceTest(unittest.TestCase):
     def test_least_loaded_for_its_size(self):
         engines = _engines(2, e0=_load(requests=4), e1=_load(requests=3))
-        self.assertEqual(spread.plan_service(engines).lead, "e1")
+        self.assertEqual(planner.plan_service(engines).lead, "e1")
 
     def test_nobody(self):
-        self.assertIsNone(spread.plan_service([]))
+        self.assertIsNone(planner.plan_service([]))
 
 
 class PassesTest(unittest.TestCase):
--- a/copperloom/decisions/tests/test_sweep.py
+++ b/copperloom/decisions/tests/test_sweep.py
@@ -3,13 +3,13 @@
 import math
 import unittest
 
-from copperloom.decisions import spread
+from copperloom.decisions import planner
 from copperloom.decisions.tests import sweep
 
 
 class SweepTest(unittest.TestCase):
     def test_same_constant_makes_no_difference(self):
-        same = f"spread.PACK_COST={spread.PACK_COST}"
+        same = f"planner.PACK_COST={planner.PACK_COST}"
         found = sweep.differences([same], ["short-only"], 2, 0.2, 2)
         self.assertEqual(found, {(same, "short-only"): [0.0, 0.0]})
 
--- a/copperloom/decisions/tests/test_waiting.py
+++ b/copperloom/decisions/tests/test_waiting.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import inflight, iterations, plans, spread, waiting
+from copperloom.decisions import inflight, iterations, planner, plans, waiting
 from copperloom.decisions.tests import peaks, sheets
 from copperloom.decisions.tests.test_spread import ENGINE
 
@@ -44,7 +44,7 @@
 
 
 def _wait(candidates, prompt=_PROMPT) -> float:
-    plan = spread.plan_prompt(ENGINE, prompt, candidates)
+    plan = planner.plan_prompt(ENGINE, prompt, candidates)
     return waiting.wait_s(ENGINE, prompt, candidates, plan)
 
 
--- a/copperloom/decisions/waiting.py
+++ b/copperloom/decisions/waiting.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from copperloom import routing
-from copperloom.decisions import inflight, iterations, plans, spread
+from copperloom.decisions import inflight, iterations, planner, plans
 
 __all__ = ["advance", "wait_s"]
 
@@ -65,7 +65,7 @@
         dataclasses.replace(c, load=advance(engine, c.load, later_s))
         for c in candidates
     ]
-    return spread.plan_prompt(engine, later, free)
+    return planner.plan_prompt(engine, later, free)
 
 
 def advance(
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -8,11 +8,11 @@
     inflight_table,
     members,
     overflow,
+    planner,
     plans,
     query,
     registry,
     shards,
-    spread,
 )
 from copperloom.ingress.state import IngressState
 
@@ -39,7 +39,9 @@
             are then drawn, since others that know as little choose as well.
     """
     usable = _usable(state, asked, now)
-    known = spread.draw(usable, frozenset(asked.may_lead or ()), state.rng)
+    known = planner.draw_targets(
+        usable, frozenset(asked.may_lead or ()), state.rng
+    )
     if alone:
         known = state.rng.sample(known, len(known))
     candidates = _candidates(state, asked, known, now)
@@ -71,7 +73,7 @@
             continue
         asked = query.Query("", shard, own)
         known = shards.within(shard, usable)
-        drawn = spread.draw(known, frozenset(), state.rng)
+        drawn = planner.draw_targets(known, frozenset(), state.rng)
         candidates = _candidates(state, asked, drawn, now)
         found[service] = round(overflow.busyness(candidates), 3)
     return found
@@ -125,7 +127,7 @@
 ) -> plans.Choice:
     spec = state.table.services.get(asked.shard.service)
     if asked.prompt is None or spec is None or spec.engine is None:
-        return spread.plan_service(
+        return planner.plan_service(
             [c for c in candidates if c.load.requests < c.slots * _PLAIN_QUEUE]
         )
     may_lead = None
@@ -134,7 +136,7 @@
     return choice.choose(
         spec.engine,
         asked.prompt,
-        spread.sample(candidates, state.rng),
+        planner.least_loaded(candidates, state.rng),
         may_lead=may_lead,
         is_repeat=asked.is_repeat,
     )
@@ -155,5 +157,5 @@
         load=load.get(entry.name, inflight.TargetLoad()),
         penalty=max(seen + reported, heard),
         slots=entry.slots,
-        near=entry.data_centre == asked.data_centre,
+        is_local=entry.data_centre == asked.data_centre,
     )
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -32,17 +32,17 @@
 
 MECHANISMS: dict[str, tuple[Switch, ...]] = {
     # Answers are written on few engines, so that others are free to read.
-    "gathering": (Switch("decisions.spread", "PACK_COST", 0.0),),
+    "gathering": (Switch("decisions.planner", "PACK_COST", 0.0),),
     # Engines with full memory are avoided.
-    "full_memory": (Switch("decisions.spread", "FULL_COST", 0.0),),
+    "full_memory": (Switch("decisions.planner", "FULL_COST", 0.0),),
     # Long prompts are read by several engines.
-    "parts": (Switch("decisions.spread", "SHORTEST_PART_S", _NEVER),),
+    "parts": (Switch("decisions.planner", "SHORTEST_PART_S", _NEVER),),
     # Each part more has a price.
-    "part_price": (Switch("decisions.spread", "PART_COST", 0.0),),
+    "part_price": (Switch("decisions.planner", "PART_COST", 0.0),),
     # Engines in the same data centre go first.
-    "near": (Switch("decisions.spread", "NEAR_GAIN", 0.0),),
+    "near": (Switch("decisions.planner", "LOCAL_GAIN", 0.0),),
     # Prompts that cost others more than they are worth are refused.
-    "refusal": (Switch("decisions.spread", "REFUSE_ABOVE", _NEVER),),
+    "refusal": (Switch("decisions.planner", "REFUSE_COST_RATIO", _NEVER),),
     # Long prompts wait for engines that come free.
     "waiting": (Switch("decisions.waiting", "DEAR_SHARE", _NEVER),),
     # Requests that come while engines read count.
@@ -51,7 +51,7 @@
     "wait_price": (Switch("decisions.interference", "WAIT_COST", 0.0),),
     # Targets that failed of late are avoided.
     "penalties": (
-        Switch("decisions.spread", "PENALTY_COST", 0.0),
+        Switch("decisions.planner", "PENALTY_COST", 0.0),
         Switch("decisions.health", "MOST", 0.0),
     ),
     # Penalties are told to peers.
