--- a/copperloom/decisions/choice.py
+++ b/copperloom/decisions/choice.py
@@ -1,7 +1,7 @@
 """What becomes of a prompt now: it is placed, held for a moment or refused."""
 
 from copperloom import routing
-from copperloom.decisions import planner, plans, waiting
+from copperloom.decisions import deferral, planner, plans
 
 __all__ = ["choose"]
 
@@ -27,7 +27,7 @@
     plan = planner.plan_prompt(engine, prompt, candidates, may_lead=may_lead)
     if plan is None or is_repeat:
         return plan
-    wait_s = waiting.wait_s(engine, prompt, candidates, plan)
+    wait_s = deferral.defer_s(engine, prompt, candidates, plan)
     if wait_s:
-        return plans.Wait(wait_s, plan)
+        return plans.Deferral(wait_s, plan)
     return plans.Refusal(plan) if planner.is_refused(prompt, plan) else plan
--- a/copperloom/decisions/waiting.py
+++ b/copperloom/decisions/deferral.py
@@ -12,11 +12,11 @@
 from copperloom import routing
 from copperloom.decisions import inflight, iterations, planner, plans
 
-__all__ = ["advance", "wait_s"]
+__all__ = ["predict_load", "defer_s"]
 
 # Waiting is weighed for prompts whose plan costs this share of their worth:
 # most of it is lost by being late, or by making others late.
-DEAR_SHARE = 0.25
+COSTLY_SHARE = 0.25
 # Moments looked at, in shares of the time left until the first token is due.
 # Each costs as much as a placement.
 MOMENTS = (0.2, 0.4)
@@ -26,7 +26,7 @@
 STEP_S = 0.15
 
 
-def wait_s(
+def defer_s(
     engine: routing.EngineSpec,
     prompt: plans.Prompt,
     candidates: list[plans.Candidate],
@@ -41,7 +41,7 @@
         plan: The best plan as things are now.
     """
     stake = plans.worth(prompt.tokens)
-    if prompt.tokens <= plans.MIDDLE_TOKENS or plan.cost < DEAR_SHARE * stake:
+    if prompt.tokens <= plans.LONG_TOKENS or plan.cost < COSTLY_SHARE * stake:
         return 0.0
     left_s = prompt.first_token_aim_s - prompt.waited_s
     if left_s <= 0:
@@ -62,13 +62,13 @@
 def _plan_later(engine, prompt, candidates, later_s) -> plans.Plan | None:
     later = dataclasses.replace(prompt, waited_s=prompt.waited_s + later_s)
     free = [
-        dataclasses.replace(c, load=advance(engine, c.load, later_s))
+        dataclasses.replace(c, load=predict_load(engine, c.load, later_s))
         for c in candidates
     ]
     return planner.plan_prompt(engine, later, free)
 
 
-def advance(
+def predict_load(
     engine: routing.EngineSpec, load: inflight.TargetLoad, by_s: float
 ) -> inflight.TargetLoad:
     """Predicts an engine's load some time later, if nothing more comes."""
@@ -81,7 +81,7 @@
     by_end = sorted(zip(time.done_s, load.prefills, strict=True), key=_end)
     for done_s, reader in by_end:
         if done_s > by_s:
-            readers.append(_later(reader, start_s, done_s, by_s))
+            readers.append(_remaining(reader, start_s, done_s, by_s))
         elif reader.pause_aim_s is not None:
             writers.append(inflight.Decode(reader.pause_aim_s, reader.worth))
         start_s = done_s
@@ -94,7 +94,9 @@
     return item[0]
 
 
-def _later(reader: inflight.Prefill, start_s, done_s, by_s) -> inflight.Prefill:
+def _remaining(
+    reader: inflight.Prefill, start_s, done_s, by_s
+) -> inflight.Prefill:
     """Returns what is left of a reading."""
     left_s = done_s - max(start_s, by_s)
     return dataclasses.replace(
--- a/copperloom/decisions/planner.py
+++ b/copperloom/decisions/planner.py
@@ -183,7 +183,7 @@
     """
     limit = plans.worth(prompt.tokens) * REFUSE_COST_RATIO
     late = plan.first_token_s > prompt.first_token_aim_s
-    return late and prompt.tokens > plans.MIDDLE_TOKENS and plan.cost > limit
+    return late and prompt.tokens > plans.LONG_TOKENS and plan.cost > limit
 
 
 def _with_holds(
--- a/copperloom/decisions/plans.py
+++ b/copperloom/decisions/plans.py
@@ -11,14 +11,14 @@
     "Plan",
     "Prompt",
     "Refusal",
-    "Wait",
+    "Deferral",
     "worth",
 ]
 
 # Tokens up to which a prompt counts as short: read within a pass or two. Above
 # the second figure it is long: worth reading in parts and waiting for engines.
 SHORT_TOKENS = 16_000
-MIDDLE_TOKENS = 100_000
+LONG_TOKENS = 100_000
 # What any prompt is worth, and what each token adds, in units of a prompt of
 # 5,000 tokens: who sends 150,000 has some sixteen times as much at stake.
 LEAST_WORTH = 0.5
@@ -99,15 +99,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wait:
+class Deferral:
     """A prompt is held for a moment, because engines come free.
 
     Attributes:
-        seconds: How long, before it is looked at again.
+        delay_s: How long, before it is looked at again.
         plan: What could be done now.
     """
 
-    seconds: float
+    delay_s: float
     plan: Plan
 
 
@@ -123,7 +123,7 @@
 
 
 # None: no target has a free slot and memory.
-Choice = Plan | Wait | Refusal | None
+Choice = Plan | Deferral | Refusal | None
 
 
 def worth(tokens: int) -> float:
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -172,7 +172,7 @@
             for n in self.engines
         ]
         plan = place(prompt, candidates)
-        if isinstance(plan, plans.Wait):
+        if isinstance(plan, plans.Deferral):
             self.schedule(now + plan.seconds, ("arrive", served))
             return
         if not isinstance(plan, plans.Plan):
--- a/copperloom/decisions/tests/test_waiting.py
+++ b/copperloom/decisions/tests/test_deferral.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import inflight, iterations, planner, plans, waiting
+from copperloom.decisions import deferral, inflight, iterations, planner, plans
 from copperloom.decisions.tests import peaks, sheets
 from copperloom.decisions.tests.test_spread import ENGINE
 
@@ -45,7 +45,7 @@
 
 def _wait(candidates, prompt=_PROMPT) -> float:
     plan = planner.plan_prompt(ENGINE, prompt, candidates)
-    return waiting.wait_s(ENGINE, prompt, candidates, plan)
+    return deferral.defer_s(ENGINE, prompt, candidates, plan)
 
 
 class WaitTest(unittest.TestCase):
@@ -83,14 +83,14 @@
 
 class AdvanceTest(unittest.TestCase):
     def test_part_that_ends_meanwhile_is_gone(self):
-        later = waiting.advance(ENGINE, _reading(0.5), 0.6)
+        later = deferral.predict_load(ENGINE, _reading(0.5), 0.6)
         self.assertEqual(later.prefills, ())
 
     def test_lead_that_ends_meanwhile_writes(self):
         load = inflight.TargetLoad(
             requests=1, prefills=(_reader(1.0, 0.5, 1.0),)
         )
-        later = waiting.advance(ENGINE, load, 0.6)
+        later = deferral.predict_load(ENGINE, load, 0.6)
         self.assertEqual(later.decodes, (inflight.Decode(1.0, 20.0),))
 
     def test_what_is_left_takes_as_long_as_before(self):
@@ -98,7 +98,7 @@
             parts=2, prefills=(_reader(1.0, 0.4), _reader(0.5, 0.1))
         )
         ends = sorted(iterations.simulate(ENGINE, load).done_s)
-        later = waiting.advance(ENGINE, load, 0.2)
+        later = deferral.predict_load(ENGINE, load, 0.2)
         for before, after in zip(
             ends, sorted(iterations.simulate(ENGINE, later).done_s), strict=True
         ):
@@ -113,7 +113,7 @@
         prompt is worth a tenth of all, so that a few seeds tell nothing.
         """
         sheet = sheets.SHEETS["wroclaw"]
-        with mock.patch.object(waiting, "DEAR_SHARE", 1000.0):
+        with mock.patch.object(deferral, "COSTLY_SHARE", 1000.0):
             before = peaks.play(sheet, "copperloom", 8, 20.0, 2.4)
         after = peaks.play(sheet, "copperloom", 8, 20.0, 2.4)
         self.assertGreater(after["all"], before["all"])
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -174,7 +174,7 @@
 def to_answer(number: int, decided: query.Decision) -> Answer:
     """Makes the answer that gives a decision."""
     chosen = decided.choice
-    wait_s = chosen.seconds if isinstance(chosen, plans.Wait) else 0.0
+    wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
     return Answer(
         number=number,
         owner=decided.decided_by,
@@ -195,7 +195,7 @@
     if answer.refused:
         choice = plans.Refusal(answer.plan)
     elif answer.wait_s:
-        choice = plans.Wait(answer.wait_s, answer.plan)
+        choice = plans.Deferral(answer.wait_s, answer.plan)
     return query.Decision(
         choice=choice,
         targets=answer.targets,
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -44,7 +44,7 @@
     # Prompts that cost others more than they are worth are refused.
     "refusal": (Switch("decisions.planner", "REFUSE_COST_RATIO", _NEVER),),
     # Long prompts wait for engines that come free.
-    "waiting": (Switch("decisions.waiting", "DEAR_SHARE", _NEVER),),
+    "waiting": (Switch("decisions.deferral", "COSTLY_SHARE", _NEVER),),
     # Requests that come while engines read count.
     "arrivals": (Switch("decisions.interference", "SHORT_ANSWER_S", _NEVER),),
     # Waiting costs, also when it is in time.
--- a/copperloom/ingress/metrics.py
+++ b/copperloom/ingress/metrics.py
@@ -32,7 +32,7 @@
         return "none"
     if tokens <= plans.SHORT_TOKENS:
         return "short"
-    return "middle" if tokens <= plans.MIDDLE_TOKENS else "long"
+    return "middle" if tokens <= plans.LONG_TOKENS else "long"
 
 
 class IngressMetrics:
--- a/copperloom/ingress/place.py
+++ b/copperloom/ingress/place.py
@@ -48,9 +48,9 @@
             return chosen
         if isinstance(chosen, plans.Refusal):
             raise _too_dear(ex, chosen.plan)
-        if isinstance(chosen, plans.Wait):
+        if isinstance(chosen, plans.Deferral):
             _tell_wait(ex, chosen, now - begun)
-            await asyncio.sleep(chosen.seconds)
+            await asyncio.sleep(chosen.delay_s)
             continue
         if now >= give_up:
             raise exception.OverloadedError(
@@ -113,12 +113,12 @@
         return
 
 
-def _tell_wait(ex, wait: plans.Wait, waited_s: float) -> None:
+def _tell_wait(ex, wait: plans.Deferral, waited_s: float) -> None:
     logs.event(
         "place_waits",
         request=ex.id,
         service=ex.service,
-        wait_s=wait.seconds,
+        wait_s=wait.delay_s,
         waited_s=waited_s,
         cost=wait.plan.cost,
         predicted_s=wait.plan.first_token_s,
--- a/copperloom/ingress/tests/test_place.py
+++ b/copperloom/ingress/tests/test_place.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.decisions import waiting
+from copperloom.decisions import deferral
 from copperloom.ingress.tests import fixtures
 
 
@@ -14,7 +14,7 @@
         system = await fixtures.start_system(self, engines=2)
         waits = mock.Mock(side_effect=[0.2, 0.1, 0.0])
         begun = asyncio.get_running_loop().time()
-        with mock.patch.object(waiting, "wait_s", waits):
+        with mock.patch.object(deferral, "defer_s", waits):
             answer = await fixtures.call(system, "/chat/x", prompt=60_000)
         took = asyncio.get_running_loop().time() - begun
         self.assertEqual(answer.status, 200)
@@ -24,7 +24,7 @@
     async def test_caller_that_leaves_meanwhile(self):
         """The caller leaves while its prompt waits; nothing is sent."""
         system = await fixtures.start_system(self, engines=1)
-        with mock.patch.object(waiting, "wait_s", return_value=0.1):
+        with mock.patch.object(deferral, "defer_s", return_value=0.1):
             asking = asyncio.ensure_future(
                 fixtures.call(system, "/chat/x", prompt=60_000)
             )
@@ -38,7 +38,7 @@
     async def test_wait_ends_with_the_time_limit(self):
         """A wait that never ends must not outlast the caller's patience."""
         system = await fixtures.start_system(self, engines=1)
-        with mock.patch.object(waiting, "wait_s", return_value=0.1):
+        with mock.patch.object(deferral, "defer_s", return_value=0.1):
             answer = await fixtures.call(
                 system, "/chat/x", prompt=60_000, wait_ms=700
             )
