--- a/copperloom/decisions/query.py
+++ b/copperloom/decisions/query.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from copperloom.decisions import inflight, overflow, plans, shards
+from copperloom.decisions import inflight, plans, shards, spillover
 
 __all__ = ["Decision", "Query", "work"]
 
@@ -45,7 +45,7 @@
         decided_by: The instance that decided.
         staleness_s: Age of the oldest word of a peer that it goes by.
         busy: How busy the shard is, as `overflow.busyness` says.
-        elsewhere: Another data centre to ask, which has more room.
+        remote: Another data centre to ask, which has more room.
     """
 
     choice: plans.Choice
@@ -54,7 +54,7 @@
     decided_by: str
     staleness_s: float = 0.0
     busy: float = 0.0
-    elsewhere: overflow.Place | None = None
+    remote: spillover.RemoteShard | None = None
 
 
 def work(query: Query, plan: plans.Plan, now: float) -> list[inflight.Work]:
--- a/copperloom/decisions/overflow.py
+++ b/copperloom/decisions/spillover.py
@@ -12,25 +12,25 @@
 
 from copperloom.decisions import plans
 
-__all__ = ["Place", "busyness", "elsewhere"]
+__all__ = ["RemoteShard", "utilisation", "choose_remote"]
 
 # Above this share of what a shard can take, requests look elsewhere before
 # they come late.
-BUSY_SHARE = 0.8
+SPILL_ABOVE = 0.8
 # What is known of another data centre is a second old; it must be less busy by
 # so much.
-LEAST_GAIN = 0.2
+MIN_GAIN = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class RemoteShard:
     """Another data centre's shard of a service.
 
     Attributes:
         data_centre: Its name.
         owner: The owner to ask there.
         address: IP:port of the owner for datagrams.
-        busy: How busy it is, as `busyness` says.
+        busy: How busy it is, as `utilisation` says.
     """
 
     data_centre: str
@@ -39,7 +39,7 @@
     busy: float
 
 
-def busyness(candidates: Iterable[plans.Candidate]) -> float:
+def utilisation(candidates: Iterable[plans.Candidate]) -> float:
     """Returns how busy targets are: 1 when all slots are taken.
 
     Reading counts as well, since engines that read for a second serve nobody
@@ -57,13 +57,13 @@
     return taken / max(1, slots) + reading_s / count
 
 
-def elsewhere(
+def choose_remote(
     chosen: plans.Choice,
     prompt: plans.Prompt | None,
     busy: float,
-    others: Sequence[Place],
+    others: Sequence[RemoteShard],
     rng: random.Random,
-) -> Place | None:
+) -> RemoteShard | None:
     """Returns the other place to ask, if the request should not stay.
 
     Args:
@@ -74,11 +74,11 @@
         rng: Source of the draw: the better of two is nearly the best, and does
             not draw all that leave at the same moment.
     """
-    if busy < BUSY_SHARE and _is_in_time(chosen, prompt):
+    if busy < SPILL_ABOVE and _is_in_time(chosen, prompt):
         return None
     drawn = rng.sample(others, min(2, len(others)))
     best = min(drawn, key=lambda place: place.busy, default=None)
-    if best is None or best.busy > busy - LEAST_GAIN:
+    if best is None or best.busy > busy - MIN_GAIN:
         return None
     return best
 
--- a/copperloom/decisions/tests/test_overflow.py
+++ b/copperloom/decisions/tests/test_spillover.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from copperloom.decisions import choice, inflight, overflow, plans
+from copperloom.decisions import choice, inflight, plans, spillover
 from copperloom.decisions.tests import emulator, sheets
 
 _PROMPT = plans.Prompt(5000, 800, 0.3, 0.25)
@@ -11,16 +11,16 @@
 _LATE = plans.Plan("e0", (), 0.03, 0.5, 0.9)
 
 
-def _places(*busy: float) -> list[overflow.Place]:
+def _places(*busy: float) -> list[spillover.RemoteShard]:
     return [
-        overflow.Place(f"dc-{n}", f"i{n}", f"10.0.0.{n}:1", b)
+        spillover.RemoteShard(f"dc-{n}", f"i{n}", f"10.0.0.{n}:1", b)
         for n, b in enumerate(busy)
     ]
 
 
 def _elsewhere(chosen, busy, *others):
     rng = random.Random(1)
-    return overflow.elsewhere(chosen, _PROMPT, busy, _places(*others), rng)
+    return spillover.choose_remote(chosen, _PROMPT, busy, _places(*others), rng)
 
 
 class ElsewhereTest(unittest.TestCase):
@@ -45,8 +45,8 @@
         load = inflight.TargetLoad(requests=2, prefills=(reader,))
         idle = plans.Candidate("a", inflight.TargetLoad(), 0.0, 4)
         busy = plans.Candidate("b", load, 0.0, 4)
-        self.assertAlmostEqual(overflow.busyness([idle, busy]), 0.5)
-        self.assertEqual(overflow.busyness([]), 1.0)
+        self.assertAlmostEqual(spillover.utilisation([idle, busy]), 0.5)
+        self.assertEqual(spillover.utilisation([]), 1.0)
 
 
 _ENGINES = 10
@@ -74,7 +74,7 @@
         ]
         if self.placed % 20 == 0:
             # What others know is old by some tens of placements.
-            self.busy = [overflow.busyness(p) for p in parts]
+            self.busy = [spillover.utilisation(p) for p in parts]
         self.placed += 1
         crowd = self.rng.random() < _CROWD
         home = 0 if crowd else self.rng.randrange(1, _SHARDS)
@@ -82,12 +82,12 @@
         if not self.may_leave:
             return here
         others = [
-            overflow.Place(str(n), "", "", self.busy[n])
+            spillover.RemoteShard(str(n), "", "", self.busy[n])
             for n in range(_SHARDS)
             if n != home
         ]
-        now = overflow.busyness(parts[home])
-        away = overflow.elsewhere(here, prompt, now, others, self.rng)
+        now = spillover.utilisation(parts[home])
+        away = spillover.choose_remote(here, prompt, now, others, self.rng)
         if away is None:
             return here
         there = choice.choose(
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -7,12 +7,12 @@
     inflight,
     inflight_table,
     members,
-    overflow,
     planner,
     plans,
     query,
     registry,
     shards,
+    spillover,
 )
 from copperloom.ingress.state import IngressState
 
@@ -46,11 +46,13 @@
         known = state.rng.sample(known, len(known))
     candidates = _candidates(state, asked, known, now)
     chosen = _choose(state, asked, candidates) if known else None
-    busy = overflow.busyness(candidates)
+    busy = spillover.utilisation(candidates)
     away = None
     if not alone and not asked.is_away:
         others = _others(state, asked.shard, now)
-        away = overflow.elsewhere(chosen, asked.prompt, busy, others, state.rng)
+        away = spillover.choose_remote(
+            chosen, asked.prompt, busy, others, state.rng
+        )
     return query.Decision(
         choice=chosen,
         targets=len(usable),
@@ -58,7 +60,7 @@
         decided_by=state.settings.instance,
         staleness_s=inflight_table.staleness_s(state.inflight, now),
         busy=busy,
-        elsewhere=away,
+        remote=away,
     )
 
 
@@ -75,13 +77,13 @@
         known = shards.within(shard, usable)
         drawn = planner.draw_targets(known, frozenset(), state.rng)
         candidates = _candidates(state, asked, drawn, now)
-        found[service] = round(overflow.busyness(candidates), 3)
+        found[service] = round(spillover.utilisation(candidates), 3)
     return found
 
 
 def _others(
     state: IngressState, shard: shards.Shard, now: float
-) -> list[overflow.Place]:
+) -> list[spillover.RemoteShard]:
     """Lists the other shards of a service, by what their owners have told."""
     if not shard.data_centre:
         return []
@@ -92,7 +94,7 @@
             continue
         if now - member.busy_at > members.SILENT_S:
             continue
-        found[place] = overflow.Place(
+        found[place] = spillover.RemoteShard(
             place,
             member.instance,
             member.datagrams,
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from copperloom.decisions import inflight, overflow, plans, query
+from copperloom.decisions import inflight, plans, query, spillover
 
 __all__ = [
     "MOST_BYTES",
@@ -105,7 +105,7 @@
     targets_version: int
     staleness_s: float
     busy: float
-    elsewhere: overflow.Place | None
+    remote: spillover.RemoteShard | None
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -185,7 +185,7 @@
         targets_version=decided.targets_version,
         staleness_s=decided.staleness_s,
         busy=decided.busy,
-        elsewhere=decided.elsewhere,
+        remote=decided.remote,
     )
 
 
@@ -203,5 +203,5 @@
         decided_by=answer.owner,
         staleness_s=answer.staleness_s,
         busy=answer.busy,
-        elsewhere=answer.elsewhere,
+        remote=answer.remote,
     )
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/owners.py
@@ -41,7 +41,7 @@
         return assign.decide(state, asked, now)
     decided = await _decide_at_home(state, asked, now)
     state.shards_used[asked.request] = (asked.shard, now)
-    place = decided.elsewhere
+    place = decided.remote
     if place is None:
         return decided
     shard = shards.Shard(asked.shard.service, place.data_centre)
