--- a/copperloom/decisions/query.py
+++ b/copperloom/decisions/placement_query.py
@@ -4,7 +4,7 @@
 
 from copperloom.decisions import inflight, plans, shards, spillover
 
-__all__ = ["Decision", "Query", "work"]
+__all__ = ["Decision", "Query", "planned_work"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +57,9 @@
     remote: spillover.RemoteShard | None = None
 
 
-def work(query: Query, plan: plans.Plan, now: float) -> list[inflight.Work]:
+def planned_work(
+    query: Query, plan: plans.Plan, now: float
+) -> list[inflight.Work]:
     """Lists what a plan's targets will do, and hold, for the request."""
     prompt = query.prompt
     held = {hold.target: hold.tokens for hold in plan.holds}
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -7,9 +7,9 @@
     inflight,
     inflight_table,
     members,
+    placement_query,
     planner,
     plans,
-    query,
     registry,
     shards,
     spillover,
@@ -24,11 +24,11 @@
 
 def decide(
     state: IngressState,
-    asked: query.Query,
+    asked: placement_query.Query,
     now: float,
     *,
     alone: bool = False,
-) -> query.Decision:
+) -> placement_query.Decision:
     """Decides what becomes of a request, for this instance or for a peer.
 
     Args:
@@ -53,7 +53,7 @@
         away = spillover.choose_remote(
             chosen, asked.prompt, busy, others, state.rng
         )
-    return query.Decision(
+    return placement_query.Decision(
         choice=chosen,
         targets=len(usable),
         targets_version=state.targets.version,
@@ -73,7 +73,7 @@
         shard = shards.home(service, usable, own)
         if shard.data_centre != own:
             continue
-        asked = query.Query("", shard, own)
+        asked = placement_query.Query("", shard, own)
         known = shards.within(shard, usable)
         drawn = planner.draw_targets(known, frozenset(), state.rng)
         candidates = _candidates(state, asked, drawn, now)
@@ -105,7 +105,7 @@
 
 def _candidates(
     state: IngressState,
-    asked: query.Query,
+    asked: placement_query.Query,
     known: list[routing.TargetEntry],
     now: float,
 ) -> list[plans.Candidate]:
@@ -114,7 +114,7 @@
 
 
 def _usable(
-    state: IngressState, asked: query.Query, now: float
+    state: IngressState, asked: placement_query.Query, now: float
 ) -> list[routing.TargetEntry]:
     usable = registry.division(state.targets, asked.shard.service, now)
     known = shards.within(asked.shard, usable)
@@ -124,7 +124,7 @@
 
 def _choose(
     state: IngressState,
-    asked: query.Query,
+    asked: placement_query.Query,
     candidates: list[plans.Candidate],
 ) -> plans.Choice:
     spec = state.table.services.get(asked.shard.service)
@@ -146,7 +146,7 @@
 
 def _candidate(
     state: IngressState,
-    asked: query.Query,
+    asked: placement_query.Query,
     entry: routing.TargetEntry,
     load: dict[str, inflight.TargetLoad],
     now: float,
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from copperloom.decisions import inflight, plans, query, spillover
+from copperloom.decisions import inflight, placement_query, plans, spillover
 
 __all__ = [
     "MOST_BYTES",
@@ -90,7 +90,7 @@
     datagrams: str
     sequence: int
     number: int
-    query: query.Query
+    query: placement_query.Query
 
 
 class Answer(msgspec.Struct, array_like=True, tag="a"):
@@ -171,7 +171,7 @@
     )
 
 
-def to_answer(number: int, decided: query.Decision) -> Answer:
+def to_answer(number: int, decided: placement_query.Decision) -> Answer:
     """Makes the answer that gives a decision."""
     chosen = decided.choice
     wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
@@ -189,14 +189,14 @@
     )
 
 
-def from_answer(answer: Answer) -> query.Decision:
+def from_answer(answer: Answer) -> placement_query.Decision:
     """Returns the decision that an answer gives."""
     choice: plans.Choice = answer.plan
     if answer.refused:
         choice = plans.Refusal(answer.plan)
     elif answer.wait_s:
         choice = plans.Deferral(answer.wait_s, answer.plan)
-    return query.Decision(
+    return placement_query.Decision(
         choice=choice,
         targets=answer.targets,
         targets_version=answer.targets_version,
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -9,7 +9,13 @@
 import asyncio
 
 from copperloom import exception, logs, routing
-from copperloom.decisions import health, inflight_table, plans, query, registry
+from copperloom.decisions import (
+    health,
+    inflight_table,
+    placement_query,
+    plans,
+    registry,
+)
 from copperloom.ingress import (
     exchange,
     place,
@@ -139,7 +145,7 @@
     now = asyncio.get_running_loop().time()
     if now >= ex.deadline:
         raise exception.TimeLimitPassedError(run=ex.run)
-    work = query.work(place.to_query(ex, now), ex.plan, now)
+    work = placement_query.planned_work(place.to_query(ex, now), ex.plan, now)
     inflight_table.begin(state.inflight, ex.id, work)
     before = ex.run
     ex.sends += 1
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/owners.py
@@ -9,7 +9,13 @@
 import dataclasses
 
 from copperloom import logs
-from copperloom.decisions import inflight_table, members, plans, query, shards
+from copperloom.decisions import (
+    inflight_table,
+    members,
+    placement_query,
+    plans,
+    shards,
+)
 from copperloom.ingress import assign, datagrams
 from copperloom.ingress.state import IngressState, is_large_fleet
 
@@ -34,8 +40,8 @@
 
 
 async def decide(
-    state: IngressState, asked: query.Query, now: float
-) -> query.Decision:
+    state: IngressState, asked: placement_query.Query, now: float
+) -> placement_query.Decision:
     """Decides what becomes of a request, here or at an owner of its shard."""
     if not is_large_fleet(state):
         return assign.decide(state, asked, now)
@@ -62,8 +68,8 @@
 
 
 async def _decide_at_home(
-    state: IngressState, asked: query.Query, now: float
-) -> query.Decision:
+    state: IngressState, asked: placement_query.Query, now: float
+) -> placement_query.Decision:
     own = state.settings.instance
     order = order_of(state, asked.shard)
     if state.settled.is_set() and members.owns(
@@ -91,8 +97,8 @@
 
 
 async def _ask(
-    state: IngressState, owner: str, address: str, asked: query.Query
-) -> query.Decision | None:
+    state: IngressState, owner: str, address: str, asked: placement_query.Query
+) -> placement_query.Decision | None:
     """Asks one owner; None if it does not answer in time."""
     loop = asyncio.get_running_loop()
     number = next(state.question_numbers)
@@ -121,7 +127,10 @@
 
 
 def _note_silent(
-    state: IngressState, owner: str, asked: query.Query, waited_s: float
+    state: IngressState,
+    owner: str,
+    asked: placement_query.Query,
+    waited_s: float,
 ) -> None:
     known = state.members.get(owner)
     if known is not None:
@@ -152,7 +161,7 @@
     asked = question.query
     decided = assign.decide(state, asked, now)
     if isinstance(decided.choice, plans.Plan):
-        work = query.work(asked, decided.choice, now)
+        work = placement_query.planned_work(asked, decided.choice, now)
         inflight_table.add_pending(
             state.inflight,
             question.asker,
--- a/copperloom/ingress/place.py
+++ b/copperloom/ingress/place.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from copperloom import exception, logs
-from copperloom.decisions import plans, query, registry
+from copperloom.decisions import placement_query, plans, registry
 from copperloom.ingress import exchange, owners
 
 __all__ = ["place", "to_query"]
@@ -60,7 +60,7 @@
         await _wait(ex)
 
 
-def to_query(ex: exchange.Exchange, now: float) -> query.Query:
+def to_query(ex: exchange.Exchange, now: float) -> placement_query.Query:
     """Returns what whoever places the request needs to know of it."""
     prompt = None
     held_tokens = 0
@@ -73,7 +73,7 @@
             pause_aim_s=ex.route.pause_aim_s,
             waited_s=now - ex.arrived,
         )
-    return query.Query(
+    return placement_query.Query(
         request=ex.id,
         shard=ex.shard,
         data_centre=ex.state.settings.data_centre,
@@ -126,7 +126,7 @@
 
 
 def _tell(
-    ex, decided: query.Decision, plan: plans.Plan, waited_s: float
+    ex, decided: placement_query.Decision, plan: plans.Plan, waited_s: float
 ) -> None:
     ex.state.metrics.waited.labels(ex.route.kind.value).observe(waited_s)
     logs.event(
