--- a/copperloom/decisions/sources.py
+++ b/copperloom/decisions/fetch_policy.py
@@ -14,12 +14,12 @@
 __all__ = [
     "Source",
     "Uplink",
-    "again_s",
-    "choose",
-    "delay_s",
-    "may_send",
-    "note_given",
-    "others",
+    "retry_delay_s",
+    "choose_source",
+    "fetch_delay_s",
+    "try_send",
+    "record_recipient",
+    "alternatives",
     "start_delay_s",
 ]
 
@@ -57,12 +57,12 @@
     Attributes:
         instance: Its name.
         calls: IP:port for calls.
-        near: Whether it stands in the same data centre.
+        is_local: Whether it stands in the same data centre.
     """
 
     instance: str
     calls: str
-    near: bool
+    is_local: bool
 
 
 class Uplink:
@@ -70,17 +70,17 @@
 
     Attributes:
         free_at: Monotonic time at which it will all have been sent.
-        given: Addresses of members that it was sent to, the latest last.
+        recipients: Addresses of members that it was sent to, the latest last.
     """
 
     def __init__(self):
         self.free_at = float("-inf")
-        self.given: collections.deque[str] = collections.deque(
+        self.recipients: collections.deque[str] = collections.deque(
             maxlen=MOST_GIVEN
         )
 
 
-def may_send(uplink: Uplink, size_s: float, now: float) -> bool:
+def try_send(uplink: Uplink, size_s: float, now: float) -> bool:
     """Takes room on the link for a document, if there is any.
 
     Args:
@@ -97,24 +97,24 @@
     return True
 
 
-def note_given(uplink: Uplink, address: str) -> None:
+def record_recipient(uplink: Uplink, address: str) -> None:
     """Notes a member that has been sent a document, and can pass it on."""
-    if address and address not in uplink.given:
-        uplink.given.append(address)
+    if address and address not in uplink.recipients:
+        uplink.recipients.append(address)
 
 
-def others(uplink: Uplink, asker: str, rng: random.Random) -> list[str]:
+def alternatives(uplink: Uplink, asker: str, rng: random.Random) -> list[str]:
     """Draws members that whoever is put off may ask instead.
 
     A hundred instances that start together hear of one or two that have read
     the tables. Named the ones that were served before, they ask those, and a
     document spreads by doubling.
     """
-    known = [address for address in uplink.given if address != asker]
+    known = [address for address in uplink.recipients if address != asker]
     return rng.sample(known, min(MOST_NAMED, len(known)))
 
 
-def choose(
+def choose_source(
     sources: Iterable[Source], tried: set[str], rng: random.Random
 ) -> Source | None:
     """Draws a member to ask, a near one if there is any.
@@ -128,12 +128,12 @@
         The member, or None if all were tried.
     """
     left = [s for s in sources if s.calls and s.instance not in tried]
-    near = [s for s in left if s.near]
+    near = [s for s in left if s.is_local]
     among = near or left
     return rng.choice(among) if among else None
 
 
-def delay_s(members: int, rng: random.Random) -> float:
+def fetch_delay_s(members: int, rng: random.Random) -> float:
     """Draws how long to wait before asking, by the number of members."""
     most = min(MOST_DELAY_S, LEAST_DELAY_S + SPREAD_S * members)
     return rng.uniform(LEAST_DELAY_S, most)
@@ -144,7 +144,7 @@
     return rng.uniform(0.0, min(MOST_DELAY_S, START_SPREAD_S * members))
 
 
-def again_s(rng: random.Random, times: int = 0) -> float:
+def retry_delay_s(rng: random.Random, times: int = 0) -> float:
     """Draws how long to wait after a member had no room on its link.
 
     Args:
--- a/copperloom/decisions/tests/test_sources.py
+++ b/copperloom/decisions/tests/test_fetch_policy.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from copperloom.decisions import sources
+from copperloom.decisions import fetch_policy
 
 _STEP_S = 0.005
 # The time in which a change has to be in force everywhere.
@@ -29,21 +29,25 @@
     rng = random.Random(1)
     have = [f"r{n}" for n in range(readers)]
     starts = {
-        f"f{n}": 0.0 if one else sources.delay_s(followers, rng)
+        f"f{n}": 0.0 if one else fetch_policy.fetch_delay_s(followers, rng)
         for n in range(followers)
     }
     left: dict[str, tuple[str, float]] = {}
-    links: dict[str, sources.Uplink] = {}
+    links: dict[str, fetch_policy.Uplink] = {}
     now = 0.0
     while len(have) < readers + followers:
         now += _STEP_S
         for name in [n for n, at in starts.items() if at <= now]:
-            known = [sources.Source(h, "ip:port", False) for h in have]
-            chosen = known[0] if one else sources.choose(known, set(), rng)
-            link = links.setdefault(chosen.instance, sources.Uplink())
+            known = [fetch_policy.Source(h, "ip:port", False) for h in have]
+            chosen = (
+                known[0]
+                if one
+                else fetch_policy.choose_source(known, set(), rng)
+            )
+            link = links.setdefault(chosen.instance, fetch_policy.Uplink())
             size_s = doc_bytes * 8 / link_bits_s
-            if not one and not sources.may_send(link, size_s, now):
-                starts[name] = now + sources.again_s(rng)
+            if not one and not fetch_policy.try_send(link, size_s, now):
+                starts[name] = now + fetch_policy.retry_delay_s(rng)
                 continue
             del starts[name]
             left[name] = (chosen.instance, doc_bytes * 8)
@@ -85,15 +89,15 @@
 class ChooseTest(unittest.TestCase):
     def test_near_members_first_and_none_twice(self):
         rng = random.Random(2)
-        near = sources.Source("a", "x", True)
-        far = sources.Source("b", "y", False)
-        mute = sources.Source("c", "", True)
+        near = fetch_policy.Source("a", "x", True)
+        far = fetch_policy.Source("b", "y", False)
+        mute = fetch_policy.Source("c", "", True)
         known = [near, far, mute]
-        self.assertEqual(sources.choose(known, set(), rng), near)
-        self.assertEqual(sources.choose(known, {"a"}, rng), far)
-        self.assertIsNone(sources.choose(known, {"a", "b"}, rng))
+        self.assertEqual(fetch_policy.choose_source(known, set(), rng), near)
+        self.assertEqual(fetch_policy.choose_source(known, {"a"}, rng), far)
+        self.assertIsNone(fetch_policy.choose_source(known, {"a", "b"}, rng))
 
     def test_few_members_hardly_wait(self):
         rng = random.Random(3)
-        longest = max(sources.delay_s(8, rng) for _ in range(100))
+        longest = max(fetch_policy.fetch_delay_s(8, rng) for _ in range(100))
         self.assertLess(longest, 0.08)
--- a/copperloom/ingress/catchup.py
+++ b/copperloom/ingress/catchup.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from copperloom import exception, logs
-from copperloom.decisions import sources
+from copperloom.decisions import fetch_policy
 from copperloom.ingress import audience
 from copperloom.ingress.state import IngressState, Member, live_members
 from copperloom.peers import catalog
@@ -56,16 +56,16 @@
     sharing = len(audience.neighbours(state))
     starts = not state.informed.is_set()
     if not starts:
-        await asyncio.sleep(sources.delay_s(sharing, state.rng))
+        await asyncio.sleep(fetch_policy.fetch_delay_s(sharing, state.rng))
         end = loop.time() + MOST_WAIT_S
     else:
         # Its callers wait for it.
-        await asyncio.sleep(sources.start_delay_s(sharing, state.rng))
+        await asyncio.sleep(fetch_policy.start_delay_s(sharing, state.rng))
         end = loop.time() + MOST_START_WAIT_S
     useless: set[str] = set()
     put_off = 0
     while loop.time() < end and len(useless) < MOST_USELESS:
-        source = sources.choose(_sources(state), useless, state.rng)
+        source = fetch_policy.choose_source(_sources(state), useless, state.rng)
         if source is None:
             break
         before = (state.table.version, state.targets.version)
@@ -77,7 +77,7 @@
         if fetched.had_room:
             useless.add(source.instance)
         else:
-            await asyncio.sleep(sources.again_s(state.rng, put_off))
+            await asyncio.sleep(fetch_policy.retry_delay_s(state.rng, put_off))
             put_off += starts
     if _sources(state):
         logs.event("peers_gave_nothing", tried=",".join(sorted(useless)))
@@ -93,11 +93,11 @@
         return catalog.Fetched(had_room=True)
 
 
-def _sources(state: IngressState) -> list[sources.Source]:
+def _sources(state: IngressState) -> list[fetch_policy.Source]:
     now = asyncio.get_running_loop().time()
     own = state.settings.data_centre
     return [
-        sources.Source(m.instance, m.calls, m.data_centre == own)
+        fetch_policy.Source(m.instance, m.calls, m.data_centre == own)
         for m in live_members(state, now)
         if _is_ahead(state, m)
     ]
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -10,13 +10,13 @@
 from copperloom import routing
 from copperloom.decisions import (
     budget,
+    fetch_policy,
     health,
     inflight_table,
     members,
     registry,
     rowlog,
     shards,
-    sources,
 )
 from copperloom.decisions.members import Member
 from copperloom.ingress import metrics, sender
@@ -120,7 +120,7 @@
         self.reports: dict[str, dict[str, health.Health]] = {}
         self.members: dict[str, Member] = {}
         self.channels = client.Channels()
-        self.uplink = sources.Uplink()
+        self.uplink = fetch_policy.Uplink()
         self.sender = sender.Sender()
         self.metrics = metrics.IngressMetrics()
         self.rng = random.Random(f"{own.instance}.{self.boot}")
--- a/copperloom/peers/catalog.py
+++ b/copperloom/peers/catalog.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from copperloom import logs
-from copperloom.decisions import rowlog, sources
+from copperloom.decisions import fetch_policy, rowlog
 from copperloom.ingress import adopt, introductions
 from copperloom.ingress.state import IngressState
 from copperloom.peers import client, peers_grpc, peers_pb2
@@ -57,7 +57,7 @@
         reply = _reply(self.state, asked)
         await stream.send_message(reply)
         if reply.routes or reply.targets:
-            sources.note_given(self.state.uplink, asked.address)
+            fetch_policy.record_recipient(self.state.uplink, asked.address)
 
 
 def _reply(state: IngressState, asked) -> peers_pb2.CatalogReply:
@@ -74,7 +74,9 @@
     if asked.routes_version < state.table.version:
         reply.routes = _if_room(state, _packed_routes(state))
     if not _is_whole(reply, asked):
-        named = sources.others(state.uplink, asked.address, state.rng)
+        named = fetch_policy.alternatives(
+            state.uplink, asked.address, state.rng
+        )
         reply.sources.extend(named)
     return reply
 
@@ -83,7 +85,7 @@
     """Returns a document if the link has room for it now, else nothing."""
     size_s = len(packed) / state.settings.link_bytes_s
     now = asyncio.get_running_loop().time()
-    return packed if sources.may_send(state.uplink, size_s, now) else b""
+    return packed if fetch_policy.try_send(state.uplink, size_s, now) else b""
 
 
 def _is_whole(reply, asked) -> bool:
