--- a/copperloom/decisions/pace.py
+++ b/copperloom/decisions/decode_rate.py
@@ -11,7 +11,7 @@
 from copperloom import routing
 from copperloom.decisions import iterations
 
-__all__ = ["Pace", "is_slow", "note_pause"]
+__all__ = ["RecentPauses", "is_slow", "record_pause"]
 
 # Pauses in a row that must all be long: fewer meet readings by chance.
 PAUSES = 3
@@ -21,7 +21,7 @@
 BUSY_SHARE = 0.25
 
 
-class Pace:
+class RecentPauses:
     """The latest pauses of one stream at one target.
 
     Attributes:
@@ -32,12 +32,14 @@
         self.pauses: collections.deque[float] = collections.deque(maxlen=PAUSES)
 
 
-def note_pause(pace: Pace, pause_s: float) -> None:
+def record_pause(pace: RecentPauses, pause_s: float) -> None:
     """Notes the time between two events."""
     pace.pauses.append(pause_s)
 
 
-def is_slow(pace: Pace, engine: routing.EngineSpec, prompt_tokens: int) -> bool:
+def is_slow(
+    pace: RecentPauses, engine: routing.EngineSpec, prompt_tokens: int
+) -> bool:
     """Tells whether all of the latest pauses are longer than a full pass.
 
     Args:
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -7,7 +7,7 @@
 import dataclasses
 import math
 
-from copperloom.decisions import iterations, patience, plans
+from copperloom.decisions import iterations, plans, timeouts
 
 __all__ = [
     "DecodeLoss",
@@ -109,7 +109,7 @@
 
 def _pause_loss(aim_s: float, pause_s: float) -> float:
     """Returns the share of an answer's worth that a pause takes."""
-    leaves_s = patience.leaves_after_s(0.0, aim_s)
+    leaves_s = timeouts.abandon_after_s(0.0, aim_s)
     loss = LATE_LOSS * _late(pause_s, aim_s)
     return loss + (1 - LATE_LOSS) * _late(pause_s, leaves_s * ABANDON_MARGIN)
 
--- a/copperloom/decisions/tests/test_pace.py
+++ b/copperloom/decisions/tests/test_decode_rate.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from copperloom.decisions import iterations, pace
+from copperloom.decisions import decode_rate, iterations
 from copperloom.decisions.tests.test_spread import ENGINE
 
 _IDLE_S = iterations.iteration_s(ENGINE, 1, 5000)
@@ -10,11 +10,11 @@
 
 
 def _seen(pauses) -> list[bool]:
-    stream = pace.Pace()
+    stream = decode_rate.RecentPauses()
     found = []
     for pause_s in pauses:
-        pace.note_pause(stream, pause_s)
-        found.append(pace.is_slow(stream, ENGINE, 5000))
+        decode_rate.record_pause(stream, pause_s)
+        found.append(decode_rate.is_slow(stream, ENGINE, 5000))
     return found
 
 
--- a/copperloom/decisions/tests/test_patience.py
+++ b/copperloom/decisions/tests/test_timeouts.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from copperloom.decisions import patience
+from copperloom.decisions import timeouts
 
 
 class FirstEventTest(unittest.TestCase):
@@ -14,7 +14,7 @@
         """
         aim_s = 4.0
         for predicted_s in (0.5, 0.9, 1.0):
-            waited_s = patience.first_event_s(predicted_s, aim_s)
+            waited_s = timeouts.first_event_timeout_s(predicted_s, aim_s)
             self.assertLess(waited_s + predicted_s, aim_s)
             self.assertGreater(waited_s, 1.5 * predicted_s)
 
@@ -25,5 +25,5 @@
         """
         for predicted_s in (0.3, 2.5, 8.0):
             left_s = 1.2 * predicted_s
-            waited_s = patience.first_event_s(predicted_s, left_s)
+            waited_s = timeouts.first_event_timeout_s(predicted_s, left_s)
             self.assertGreaterEqual(waited_s, 3.0 * predicted_s)
--- a/copperloom/decisions/patience.py
+++ b/copperloom/decisions/timeouts.py
@@ -3,13 +3,13 @@
 When callers leave is as the platform states for all of them.
 """
 
-__all__ = ["first_event_s", "leaves_after_s"]
+__all__ = ["first_event_timeout_s", "abandon_after_s"]
 
 # A caller leaves a stream that shows nothing for this time, or for so many
 # times its objective or accepted pause, whichever is longest.
-LEAVES_S = 2.0
-LEAVES_OBJECTIVES = 4.0
-LEAVES_PAUSES = 8.0
+ABANDON_S = 2.0
+ABANDON_OBJECTIVES = 4.0
+ABANDON_PAUSES = 8.0
 # Patience for the first event: what was predicted, with room for what came in
 # between. Short streams' callers leave after two seconds.
 FIRST_SLACK_S = 1.0
@@ -22,7 +22,7 @@
 REPEAT_FACTOR = 1.2
 
 
-def first_event_s(predicted_s: float, left_s: float) -> float:
+def first_event_timeout_s(predicted_s: float, left_s: float) -> float:
     """Returns how long a target may keep silent before it is given up.
 
     Made for seconds in which many engines lose answers: a prompt of 300,000
@@ -40,7 +40,7 @@
     return min(patience_s, in_time_s)
 
 
-def leaves_after_s(objective_s: float, pause_aim_s: float) -> float:
+def abandon_after_s(objective_s: float, pause_aim_s: float) -> float:
     """Returns the silence after which a caller leaves, in seconds.
 
     Args:
@@ -48,5 +48,7 @@
         pause_aim_s: Longest pause that the caller accepts.
     """
     return max(
-        LEAVES_S, LEAVES_OBJECTIVES * objective_s, LEAVES_PAUSES * pause_aim_s
+        ABANDON_S,
+        ABANDON_OBJECTIVES * objective_s,
+        ABANDON_PAUSES * pause_aim_s,
     )
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -57,13 +57,13 @@
     # Penalties are told to peers.
     "hearsay": (Switch("decisions.health", "HEARSAY", 0.0),),
     # Targets that write slowly are noticed.
-    "pace": (Switch("decisions.pace", "SLOW_FACTOR", _NEVER),),
+    "pace": (Switch("decisions.decode_rate", "SLOW_FACTOR", _NEVER),),
     # Streams that stand still are taken up elsewhere.
     "stalls": (Switch("ingress.relay", "STALL_SHARE", _NEVER),),
     # Streams without a first event are asked for elsewhere.
     "first_event": (
-        Switch("decisions.patience", "FIRST_SLACK_S", _NEVER),
-        Switch("decisions.patience", "SOON_SLACK_S", _NEVER),
+        Switch("decisions.timeouts", "FIRST_SLACK_S", _NEVER),
+        Switch("decisions.timeouts", "SOON_SLACK_S", _NEVER),
     ),
     # Short prompts go before long ones at an engine.
     "priority": (Switch("ingress.forward", "LONG_PRIORITY", 1),),
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from copperloom import exception, logs
-from copperloom.decisions import health, inflight_table, pace, patience
+from copperloom.decisions import decode_rate, health, inflight_table, timeouts
 from copperloom.ingress import events, exchange, repeat, sender
 from copperloom.platform import headers
 
@@ -60,7 +60,7 @@
     splitter = events.Splitter()
     content = reply.response.content
     begun = False
-    written = pace.Pace()
+    written = decode_rate.RecentPauses()
     while True:
         chunk = await _read(ex, content, _patience(ex, begun))
         if not chunk:
@@ -73,7 +73,7 @@
             begun = True
             inflight_table.mark_decoding(ex.state.inflight, ex.id)
         else:
-            pace.note_pause(written, now - ex.last_at)
+            decode_rate.record_pause(written, now - ex.last_at)
             _note_pace(ex, written, now)
         _note_event(ex, now)
         await _pass_on(ex, reply, whole)
@@ -93,12 +93,14 @@
     ex.last_at = now
 
 
-def _note_pace(ex: exchange.Exchange, written: pace.Pace, now: float) -> None:
+def _note_pace(
+    ex: exchange.Exchange, written: decode_rate.RecentPauses, now: float
+) -> None:
     """Holds it against a target if it writes slowly all the while."""
     engine = exchange.engine(ex)
     if engine is None:
         return
-    if not pace.is_slow(written, engine, ex.head.prompt_tokens):
+    if not decode_rate.is_slow(written, engine, ex.head.prompt_tokens):
         return
     ex.slow = True
     known = ex.state.health.setdefault(ex.plan.lead, health.Health())
@@ -122,7 +124,7 @@
         return None
     if not begun:
         return first_event_patience(ex)
-    return STALL_SHARE * patience.leaves_after_s(
+    return STALL_SHARE * timeouts.abandon_after_s(
         ex.route.target_latency_s, ex.route.pause_aim_s
     )
 
@@ -132,7 +134,7 @@
     waited_s = ex.placed_at - ex.arrived
     predicted_s = ex.plan.first_token_s - waited_s
     left_s = ex.route.target_latency_s - waited_s
-    return patience.first_event_s(max(0.0, predicted_s), left_s)
+    return timeouts.first_event_timeout_s(max(0.0, predicted_s), left_s)
 
 
 async def _read(
--- a/copperloom/ingress/tests/test_failures.py
+++ b/copperloom/ingress/tests/test_failures.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from copperloom.decisions import patience
+from copperloom.decisions import timeouts
 from copperloom.ingress import relay
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins.target import Fault
@@ -217,7 +217,7 @@
 
     def test_patience_ends_before_callers_leave(self):
         self.assertLess(
-            relay.STALL_SHARE * patience.LEAVES_S, patience.LEAVES_S
+            relay.STALL_SHARE * timeouts.ABANDON_S, timeouts.ABANDON_S
         )
 
 
