--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -124,8 +124,8 @@
     async def on_start(self) -> None:
         """Listens and starts the controllers."""
         state = self.entry
-        state.began = asyncio.get_running_loop().time()
-        state.hold_until = state.began + START_HOLD_S
+        state.listening_since = asyncio.get_running_loop().time()
+        state.hold_until = state.listening_since + START_HOLD_S
         self.gossip = await gossip.open_gossip(state)
         self.calls = await catalog.serve(state)
         self.listeners = await server.listen(
--- a/copperloom/decisions/members.py
+++ b/copperloom/decisions/members.py
@@ -13,32 +13,32 @@
 from copperloom.decisions import shards
 
 __all__ = [
-    "ANSWER_S",
-    "SILENT_S",
+    "REPLY_INTERVAL_S",
+    "MEMBER_TIMEOUT_S",
     "Member",
     "is_live",
-    "is_passed_over",
+    "is_skipped",
     "live",
-    "note_answered",
-    "note_heard",
-    "note_told",
-    "note_unanswered",
-    "owns",
-    "ranked",
-    "sharing",
-    "to_ask",
-    "to_tell",
+    "record_reply_sent",
+    "record_received",
+    "record_sent",
+    "record_query_timeout",
+    "is_owner",
+    "rank_owners",
+    "count_sharing",
+    "owners_to_query",
+    "owners_to_notify",
 ]
 
 # Members that are told something answer once a second at least: two lost
 # messages in a row are borne.
-SILENT_S = 3.0
+MEMBER_TIMEOUT_S = 3.0
 # Whoever tells something hears from the member that was told at least so often.
-ANSWER_S = 0.9
+REPLY_INTERVAL_S = 0.9
 # A member that has left a message without an answer for so long is not told
 # more; after the second time it is tried again.
-PASSED_OVER_S = 2.2
-TRIED_AGAIN_S = 6.0
+SKIP_AFTER_S = 2.2
+SKIP_S = 6.0
 # An owner that left a question unanswered is asked after the others for so
 # long, or until it is heard: each question to a frozen one costs a caller the
 # time until the next owner is asked.
@@ -53,17 +53,17 @@
         instance: Its name.
         datagrams: IP:port for datagrams.
         calls: IP:port for calls, "" if it takes none.
-        first_at: Monotonic time at which it became known.
-        heard_at: Monotonic time of its last message; -inf if none came.
+        discovered_at: Monotonic time at which it became known.
+        last_received_at: Monotonic time of its last message; -inf if none came.
         boot: The run of its process that was heard last.
         data_centre: Where it stands, "" if it has not said so yet.
         cores: Its share of processor time, in cores.
         routes_version: Version of the routes that it has.
         targets_version: Version of the targets that it has.
-        leaving: Whether it is stopping.
-        store_lost: Whether the platform's table does not answer it.
-        told_at: Monotonic time at which it was told something last.
-        unanswered_at: Monotonic time of the first message that it has not
+        draining: Whether it is stopping.
+        table_unreachable: Whether the platform's table does not answer it.
+        last_sent_at: Monotonic time at which it was told something last.
+        unanswered_since: Monotonic time of the first message that it has not
             answered; inf if there is none.
         suspect_until: Monotonic time until which others are asked sooner.
         busy: How busy the targets of its data centre are, by service; told by
@@ -74,62 +74,64 @@
     instance: str
     datagrams: str
     calls: str
-    first_at: float
-    heard_at: float = -math.inf
+    discovered_at: float
+    last_received_at: float = -math.inf
     boot: str = ""
     data_centre: str = ""
     cores: float = 1.0
     routes_version: int = 0
     targets_version: int = 0
-    leaving: bool = False
-    store_lost: bool = False
-    told_at: float = -math.inf
-    unanswered_at: float = math.inf
+    draining: bool = False
+    table_unreachable: bool = False
+    last_sent_at: float = -math.inf
+    unanswered_since: float = math.inf
     suspect_until: float = -math.inf
     busy: dict[str, float] = dataclasses.field(default_factory=dict)
     busy_at: float = -math.inf
 
 
-def note_told(member: Member, now: float) -> None:
+def record_sent(member: Member, now: float) -> None:
     """Notes that a message went to it, to which it should answer.
 
     One that spoke within ANSWER_S need not: it has told what it knows, and
     speaks again only when it is told something later.
     """
-    member.told_at = now
-    if now - member.heard_at < ANSWER_S:
+    member.last_sent_at = now
+    if now - member.last_received_at < REPLY_INTERVAL_S:
         return
-    if now - member.unanswered_at > PASSED_OVER_S + TRIED_AGAIN_S:
-        member.unanswered_at = now
-    member.unanswered_at = min(member.unanswered_at, now)
+    if now - member.unanswered_since > SKIP_AFTER_S + SKIP_S:
+        member.unanswered_since = now
+    member.unanswered_since = min(member.unanswered_since, now)
 
 
-def note_answered(member: Member, now: float) -> None:
+def record_reply_sent(member: Member, now: float) -> None:
     """Notes that a message of its was answered; it owes nothing for that."""
-    member.told_at = now
+    member.last_sent_at = now
 
 
-def note_heard(member: Member, now: float) -> None:
+def record_received(member: Member, now: float) -> None:
     """Notes that a message came from it."""
-    member.heard_at = now
-    member.unanswered_at = math.inf
+    member.last_received_at = now
+    member.unanswered_since = math.inf
     member.suspect_until = -math.inf
 
 
-def note_unanswered(member: Member, now: float) -> None:
+def record_query_timeout(member: Member, now: float) -> None:
     """Notes that a question to it was not answered in time."""
     member.suspect_until = now + SUSPECT_S
 
 
 def is_live(member: Member, now: float) -> bool:
     """Tells whether it was heard of late and is not stopping."""
-    return now - member.heard_at < SILENT_S and not member.leaving
+    return (
+        now - member.last_received_at < MEMBER_TIMEOUT_S and not member.draining
+    )
 
 
-def is_passed_over(member: Member, now: float) -> bool:
+def is_skipped(member: Member, now: float) -> bool:
     """Tells whether it has left messages unanswered and is let be."""
-    silent_s = now - member.unanswered_at
-    return PASSED_OVER_S < silent_s < PASSED_OVER_S + TRIED_AGAIN_S
+    silent_s = now - member.unanswered_since
+    return SKIP_AFTER_S < silent_s < SKIP_AFTER_S + SKIP_S
 
 
 def live(members: Mapping[str, Member], now: float) -> list[Member]:
@@ -137,7 +139,7 @@
     return [m for m in members.values() if is_live(m, now)]
 
 
-def sharing(members: Mapping[str, Member], now: float) -> int:
+def count_sharing(members: Mapping[str, Member], now: float) -> int:
     """Counts the instances that may spend of what all share, this one too.
 
     In a large fleet few of those that live are heard, so all count that are
@@ -148,7 +150,7 @@
     return len(live(members, now)) + 1
 
 
-def ranked(
+def rank_owners(
     members: Mapping[str, Member],
     own: shards.Instance,
     own_data_centre: str,
@@ -195,14 +197,14 @@
     return shards.rank(key, owners) + shards.rank(key, others)
 
 
-def owns(
+def is_owner(
     order: list[str],
     members: Mapping[str, Member],
     own: str,
     now: float,
     *,
     owners: int = shards.OWNERS,
-    began: float = -math.inf,
+    listening_since: float = -math.inf,
 ) -> bool:
     """Tells whether this instance is among the first that live.
 
@@ -211,22 +213,22 @@
     themselves for owners.
 
     Args:
-        order: Names from `ranked`.
+        order: Names from `rank_owners`.
         members: The others.
         own: This instance.
         now: Monotonic time.
         owners: How many there are.
-        began: Monotonic time at which this instance began to listen.
+        listening_since: Monotonic time at which this instance began to listen.
     """
     if own not in order:
         return False
     before = order[: order.index(own)]
-    if now - began < SILENT_S:
+    if now - listening_since < MEMBER_TIMEOUT_S:
         return len(before) < owners
     return sum(is_live(members[n], now) for n in before) < owners
 
 
-def to_tell(
+def owners_to_notify(
     order: Iterable[str], members: Mapping[str, Member], own: str, now: float
 ) -> list[Member]:
     """Lists the owners that should hear of work at a shard.
@@ -240,7 +242,7 @@
     for name in order:
         if name == own:
             heard += 1
-        elif not (members[name].leaving or is_passed_over(members[name], now)):
+        elif not (members[name].draining or is_skipped(members[name], now)):
             told.append(members[name])
             heard += is_live(members[name], now)
         if heard >= shards.OWNERS or len(told) >= 2 * shards.OWNERS:
@@ -248,7 +250,7 @@
     return told
 
 
-def to_ask(
+def owners_to_query(
     order: Iterable[str], members: Mapping[str, Member], own: str, now: float
 ) -> list[Member]:
     """Lists the owners that may be asked to place, the first one first."""
--- a/copperloom/decisions/tests/test_shards.py
+++ b/copperloom/decisions/tests/test_shards.py
@@ -94,18 +94,19 @@
         self.order = self._order()
 
     def _order(self):
-        return members.ranked(
+        return members.rank_owners(
             self.members, self.me, "a", shards.Shard("s", "a")
         )
 
     def test_all_agree_on_the_owners(self):
         owners = self.order[: shards.OWNERS]
-        told = members.to_tell(self.order, self.members, "me", 0.1)
+        told = members.owners_to_notify(self.order, self.members, "me", 0.1)
         self.assertEqual(
             [m.instance for m in told], [n for n in owners if n != "me"]
         )
         self.assertEqual(
-            members.owns(self.order, self.members, "me", 0.1), "me" in owners
+            members.is_owner(self.order, self.members, "me", 0.1),
+            "me" in owners,
         )
 
     def test_all_data_centres_find_the_same_owners_of_a_whole_service(self):
@@ -134,7 +135,7 @@
                     del known[name]
             me = known.pop(f"{dc}0")
             own = shards.Instance(me.instance, me.cores)
-            orders.append(members.ranked(known, own, dc, shard)[:9])
+            orders.append(members.rank_owners(known, own, dc, shard)[:9])
         self.assertEqual(orders[0], orders[1])
         self.assertEqual(orders[0], orders[2])
 
@@ -145,33 +146,33 @@
         """
         others = [n for n in self.order if n != "me"]
         dead = self.members[others[0]]
-        members.note_told(dead, members.ANSWER_S)
-        now = members.ANSWER_S + members.PASSED_OVER_S + 0.1
+        members.record_sent(dead, members.REPLY_INTERVAL_S)
+        now = members.REPLY_INTERVAL_S + members.SKIP_AFTER_S + 0.1
         for name in others[1:]:
-            members.note_heard(self.members[name], now)
-        told = members.to_tell(self.order, self.members, "me", now)
+            members.record_received(self.members[name], now)
+        told = members.owners_to_notify(self.order, self.members, "me", now)
         self.assertNotIn(dead, told)
         self.assertGreaterEqual(len(told), shards.OWNERS - 1)
 
     def test_owner_that_returns_is_told_again(self):
         dead = self.members[[n for n in self.order if n != "me"][0]]
-        members.note_told(dead, members.ANSWER_S)
-        now = members.ANSWER_S + members.PASSED_OVER_S + 0.1
-        self.assertTrue(members.is_passed_over(dead, now))
-        members.note_heard(dead, now)
-        told = members.to_tell(self.order, self.members, "me", now)
+        members.record_sent(dead, members.REPLY_INTERVAL_S)
+        now = members.REPLY_INTERVAL_S + members.SKIP_AFTER_S + 0.1
+        self.assertTrue(members.is_skipped(dead, now))
+        members.record_received(dead, now)
+        told = members.owners_to_notify(self.order, self.members, "me", now)
         self.assertIn(dead, told)
 
     def test_silent_owner_is_tried_again(self):
         """A network that was cut heals; nobody else would find out."""
         dead = self.members["m0"]
-        members.note_told(dead, 0.0)
-        later = members.PASSED_OVER_S + members.TRIED_AGAIN_S + 0.1
-        self.assertFalse(members.is_passed_over(dead, later))
-        members.note_told(dead, later)
-        self.assertFalse(members.is_passed_over(dead, later + 1.0))
-        again = later + members.PASSED_OVER_S + 0.1
-        self.assertTrue(members.is_passed_over(dead, again))
+        members.record_sent(dead, 0.0)
+        later = members.SKIP_AFTER_S + members.SKIP_S + 0.1
+        self.assertFalse(members.is_skipped(dead, later))
+        members.record_sent(dead, later)
+        self.assertFalse(members.is_skipped(dead, later + 1.0))
+        again = later + members.SKIP_AFTER_S + 0.1
+        self.assertTrue(members.is_skipped(dead, again))
 
     def test_member_that_was_answered_owes_nothing(self):
         """An instance starts, greets its data centre and never speaks again.
@@ -180,10 +181,10 @@
         it would be passed over when it is the next to own the shard.
         """
         member = self.members["m0"]
-        members.note_heard(member, 0.0)
-        members.note_answered(member, 0.0)
-        later = members.PASSED_OVER_S + 1.0
-        self.assertFalse(members.is_passed_over(member, later))
+        members.record_received(member, 0.0)
+        members.record_reply_sent(member, 0.0)
+        later = members.SKIP_AFTER_S + 1.0
+        self.assertFalse(members.is_skipped(member, later))
 
     def test_member_that_has_just_spoken_owes_nothing(self):
         """A member is told again a moment after it spoke, and then no more.
@@ -192,34 +193,34 @@
         be passed over though it lives.
         """
         member = self.members["m0"]
-        members.note_heard(member, 10.0)
-        members.note_told(member, 10.0 + members.ANSWER_S / 2)
-        later = 10.0 + members.PASSED_OVER_S + 2.0
-        self.assertFalse(members.is_passed_over(member, later))
+        members.record_received(member, 10.0)
+        members.record_sent(member, 10.0 + members.REPLY_INTERVAL_S / 2)
+        later = 10.0 + members.SKIP_AFTER_S + 2.0
+        self.assertFalse(members.is_skipped(member, later))
 
     def test_frozen_owner_is_asked_last(self):
         """The first owner freezes; it counts as live for seconds.
 
         Each question to it would cost a caller the patience for an answer.
         """
-        asked = members.to_ask(self.order, self.members, "me", 0.1)
-        members.note_unanswered(asked[0], 0.1)
-        then = members.to_ask(self.order, self.members, "me", 0.2)
+        asked = members.owners_to_query(self.order, self.members, "me", 0.1)
+        members.record_query_timeout(asked[0], 0.1)
+        then = members.owners_to_query(self.order, self.members, "me", 0.2)
         self.assertEqual(then, [*asked[1:], asked[0]])
-        members.note_heard(asked[0], 0.3)
-        then = members.to_ask(self.order, self.members, "me", 0.4)
+        members.record_received(asked[0], 0.3)
+        then = members.owners_to_query(self.order, self.members, "me", 0.4)
         self.assertEqual(then, asked)
 
     def test_data_centre_without_instances(self):
-        order = members.ranked(
+        order = members.rank_owners(
             self.members, self.me, "a", shards.Shard("s", "elsewhere")
         )
         self.assertEqual(len(order), 21)
 
     def test_share_of_what_all_spend(self):
         """Few members of a large fleet are heard; all spend of the budget."""
-        late = members.SILENT_S + 1.0
-        self.assertEqual(members.sharing(self.members, late), 21)
+        late = members.MEMBER_TIMEOUT_S + 1.0
+        self.assertEqual(members.count_sharing(self.members, late), 21)
         few = {name: self.members[name] for name in ("m0", "m1")}
-        self.assertEqual(members.sharing(few, late), 1)
-        self.assertEqual(members.sharing(few, 0.1), 3)
+        self.assertEqual(members.count_sharing(few, late), 1)
+        self.assertEqual(members.count_sharing(few, 0.1), 3)
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -92,7 +92,7 @@
         place = member.data_centre
         if place == shard.data_centre or shard.service not in member.busy:
             continue
-        if now - member.busy_at > members.SILENT_S:
+        if now - member.busy_at > members.MEMBER_TIMEOUT_S:
             continue
         found[place] = spillover.RemoteShard(
             place,
--- a/copperloom/ingress/audience.py
+++ b/copperloom/ingress/audience.py
@@ -71,7 +71,7 @@
     own = state.settings.instance
     if own in order[: 2 * shards.OWNERS]:
         return neighbours(state)
-    return members.to_tell(order, state.members, own, now)
+    return members.owners_to_notify(order, state.members, own, now)
 
 
 def owes_answer(
@@ -81,14 +81,16 @@
 
     In a small fleet everyone is told anyway.
     """
-    return is_large_fleet(state) and now - member.told_at > after_s
+    return is_large_fleet(state) and now - member.last_sent_at > after_s
 
 
 def forget_gone(state: IngressState, now: float) -> None:
     """Drops members that have not been heard for long though they were told."""
     for member in list(state.members.values()):
-        known_at = max(member.first_at, member.heard_at)
-        expected = not is_large_fleet(state) or member.unanswered_at < math.inf
+        known_at = max(member.discovered_at, member.last_received_at)
+        expected = (
+            not is_large_fleet(state) or member.unanswered_since < math.inf
+        )
         if expected and now - known_at > _UNHEARD_S:
             del state.members[member.instance]
             logs.event("member_gone", member=member.instance)
@@ -121,14 +123,18 @@
     state: IngressState, shard: shards.Shard, now: float
 ) -> list[Member]:
     order = owners.order_of(state, shard)
-    return members.to_tell(order, state.members, state.settings.instance, now)
+    return members.owners_to_notify(
+        order, state.members, state.settings.instance, now
+    )
 
 
 def owns_home(state: IngressState, now: float) -> bool:
     """Tells whether this instance owns the shards of its data centre."""
     order = owners.order_of(state, _home(state))
     own = state.settings.instance
-    return members.owns(order, state.members, own, now, began=state.began)
+    return members.is_owner(
+        order, state.members, own, now, listening_since=state.listening_since
+    )
 
 
 def _far(state: IngressState) -> set[str]:
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -72,8 +72,8 @@
     sequence: int
     routes_version: int
     targets_version: int
-    leaving: bool
-    store_lost: bool
+    draining: bool
+    table_unreachable: bool
     work: list[RawWork]
     penalties: dict[str, float]
     joined: list[Introduction]
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -178,7 +178,7 @@
     for member in audience.followers(gossip.state, now):
         if member.instance not in names:
             gossip.send(data, member.datagrams)
-            members.note_answered(member, now)
+            members.record_reply_sent(member, now)
 
 
 def _reports(gossip: Gossip, now: float) -> bool:
@@ -217,7 +217,7 @@
 ) -> None:
     """Sends a digest to members, which answer it in a large fleet."""
     large = is_large_fleet(gossip.state)
-    note = members.note_told if large else members.note_answered
+    note = members.record_sent if large else members.record_reply_sent
     for member in told:
         gossip.send(data, member.datagrams)
         note(member, now)
@@ -234,7 +234,7 @@
     else:
         joined = []
     gossip.send(_encode(gossip, now, joined), member.datagrams)
-    members.note_answered(member, now)
+    members.record_reply_sent(member, now)
 
 
 def _encode(
@@ -272,8 +272,8 @@
         sequence=state.sequence,
         routes_version=state.table.version,
         targets_version=state.targets.version,
-        leaving=state.draining,
-        store_lost=bool(state.lost_tables),
+        draining=state.draining,
+        table_unreachable=bool(state.lost_tables),
         work=[
             datagrams.encode_work(w, now)
             for w in inflight_table.own_work(state.inflight)
@@ -307,13 +307,15 @@
     if told.busy:
         member.busy = told.busy
         member.busy_at = now
-    members.note_heard(member, now)
+    members.record_received(member, now)
     for introduced in told.joined:
         introductions.take(state, introduced, now)
     if work or state.inflight.own:
         state.changed.set()
     wanted = started or told.wants_members
-    if wanted or audience.owes_answer(state, member, now, members.ANSWER_S):
+    if wanted or audience.owes_answer(
+        state, member, now, members.REPLY_INTERVAL_S
+    ):
         _answer(gossip, member, told, now)
     catchup.note(gossip.fetches, state, member)
 
@@ -324,7 +326,7 @@
     member.calls = told.sender.calls
     member.data_centre = told.sender.data_centre
     member.cores = told.sender.cores
-    member.leaving = told.leaving
-    member.store_lost = told.store_lost
+    member.draining = told.draining
+    member.table_unreachable = told.table_unreachable
     member.routes_version = told.routes_version
     member.targets_version = told.targets_version
--- a/copperloom/ingress/introductions.py
+++ b/copperloom/ingress/introductions.py
@@ -34,7 +34,9 @@
 
 def new(state: IngressState, now: float) -> list[datagrams.Introduction]:
     """Picks members that others may not know of yet."""
-    late = [m for m in state.members.values() if now - m.first_at < JOINED_S]
+    late = [
+        m for m in state.members.values() if now - m.discovered_at < JOINED_S
+    ]
     if len(late) > MOST_JOINED:
         late = state.rng.sample(late, MOST_JOINED)
     if not late and state.members:
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/owners.py
@@ -72,11 +72,18 @@
 ) -> placement_query.Decision:
     own = state.settings.instance
     order = order_of(state, asked.shard)
-    if state.settled.is_set() and members.owns(
-        order, state.members, own, now, owners=1, began=state.began
+    if state.settled.is_set() and members.is_owner(
+        order,
+        state.members,
+        own,
+        now,
+        owners=1,
+        listening_since=state.listening_since,
     ):
         return assign.decide(state, asked, now)
-    for owner in members.to_ask(order, state.members, own, now)[:_MOST_ASKED]:
+    for owner in members.owners_to_query(order, state.members, own, now)[
+        :_MOST_ASKED
+    ]:
         told = await _ask(state, owner.instance, owner.datagrams, asked)
         if told is not None and told.targets:
             return told
@@ -89,7 +96,7 @@
     """Returns all that may own a shard, the first one first."""
     own = state.settings
     me = shards.Instance(own.instance, own.cores)
-    return members.ranked(state.members, me, own.data_centre, shard)
+    return members.rank_owners(state.members, me, own.data_centre, shard)
 
 
 def _name(shard: shards.Shard) -> str:
@@ -134,7 +141,7 @@
 ) -> None:
     known = state.members.get(owner)
     if known is not None:
-        members.note_unanswered(known, asyncio.get_running_loop().time())
+        members.record_query_timeout(known, asyncio.get_running_loop().time())
     state.metrics.questions.labels("unanswered").inc()
     logs.event(
         "owner_silent",
@@ -149,7 +156,7 @@
     """Hands an answer to whoever waits for it; late ones find nobody."""
     owner = state.members.get(told.owner)
     if owner is not None:
-        members.note_heard(owner, asyncio.get_running_loop().time())
+        members.record_received(owner, asyncio.get_running_loop().time())
     waiting = state.questions.get(told.number)
     if waiting is not None and not waiting.done():
         waiting.set_result(told)
--- a/copperloom/ingress/readers.py
+++ b/copperloom/ingress/readers.py
@@ -30,18 +30,18 @@
         data_centres.add(state.settings.data_centre)
         readers = min(shards.OWNERS, math.ceil(READERS / len(data_centres)))
     reachable = {
-        name: m for name, m in state.members.items() if not m.store_lost
+        name: m for name, m in state.members.items() if not m.table_unreachable
     }
     own = state.settings
     me = shards.Instance(own.instance, own.cores)
-    order = members.ranked(reachable, me, own.data_centre, shard)
-    return members.owns(
+    order = members.rank_owners(reachable, me, own.data_centre, shard)
+    return members.is_owner(
         order,
         reachable,
         own.instance,
         now,
         owners=readers,
-        began=state.began,
+        listening_since=state.listening_since,
     )
 
 
@@ -55,7 +55,7 @@
     own = state.settings
     me = shards.Instance(own.instance, own.cores)
     home = shards.Shard("", own.data_centre)
-    order = members.ranked(state.members, me, own.data_centre, home)
+    order = members.rank_owners(state.members, me, own.data_centre, home)
     before = order[: order.index(own.instance)]
     told = [state.members[name] for name in before]
-    return sum(m.store_lost and members.is_live(m, now) for m in told)
+    return sum(m.table_unreachable and members.is_live(m, now) for m in told)
--- a/copperloom/ingress/repeat.py
+++ b/copperloom/ingress/repeat.py
@@ -40,7 +40,7 @@
     if not again and len(ex.sent_to) >= ex.route.max_attempts:
         return False
     now = asyncio.get_running_loop().time()
-    sharing = members.sharing(ex.state.members, now)
+    sharing = members.count_sharing(ex.state.members, now)
     allowed = budget.spend(ex.state.budget, ex.service, now, sharing)
     if not allowed:
         logs.event("repeat_denied", request=ex.id, members=sharing)
--- a/copperloom/ingress/scrape.py
+++ b/copperloom/ingress/scrape.py
@@ -81,13 +81,13 @@
     oldest = core.GaugeMetricFamily(
         "copperloom_member_age_seconds",
         "Time since the live member was heard that was heard longest ago.",
-        value=max((now - m.heard_at for m in live), default=0.0),
+        value=max((now - m.last_received_at for m in live), default=0.0),
     )
     return known, oldest
 
 
 def _budget(state: IngressState, now: float):
-    sharing = members.sharing(state.members, now)
+    sharing = members.count_sharing(state.members, now)
     left = core.GaugeMetricFamily(
         "copperloom_repeats_left",
         "Repeats that this instance may still send in the window.",
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -60,7 +60,7 @@
         questions: Futures of questions to owners, by number.
         question_numbers: Source of those numbers.
         shards_used: The shard that each request was placed on last, and when.
-        began: Monotonic time at which this instance began to listen.
+        listening_since: Monotonic time at which this instance began to listen.
         fleet: Most instances that any peer, or a row of the platform's table,
             has told of.
         settled: Set once those that know of others' work have been greeted,
@@ -111,7 +111,7 @@
         self.questions: dict[int, asyncio.Future] = {}
         self.question_numbers = itertools.count(1)
         self.shards_used: dict[str, tuple[shards.Shard, float]] = {}
-        self.began = float("-inf")
+        self.listening_since = float("-inf")
         self.fleet = 0
         self.settled = asyncio.Event()
         self.budget = budget.Budget(budget_terms(own))
--- a/copperloom/ingress/tests/test_owners.py
+++ b/copperloom/ingress/tests/test_owners.py
@@ -153,13 +153,13 @@
         """
         system = await _start_fleet(self, engines=1)
         system.store.put("op", "config", fixtures.routes(6))
-        await asyncio.sleep(members.PASSED_OVER_S + 1.0)
+        await asyncio.sleep(members.SKIP_AFTER_S + 1.0)
         now = asyncio.get_running_loop().time()
         passed_over = [
             m.instance
             for f in system.fronts
             for m in f.entry.members.values()
-            if members.is_passed_over(m, now)
+            if members.is_skipped(m, now)
         ]
         self.assertEqual(passed_over, [])
 
@@ -182,7 +182,7 @@
         entry = system.fronts[asker].entry
         suspect = entry.members[order[0]].suspect_until
         self.assertGreater(suspect, asyncio.get_running_loop().time())
-        asked = members.to_ask(
+        asked = members.owners_to_query(
             order, entry.members, order[-1], asyncio.get_running_loop().time()
         )
         self.assertEqual(asked[0].instance, order[1])
--- a/copperloom/ingress/views.py
+++ b/copperloom/ingress/views.py
@@ -21,7 +21,7 @@
         state: The instance's state.
         now: Monotonic time.
     """
-    sharing = members.sharing(state.members, now)
+    sharing = members.count_sharing(state.members, now)
     return {
         "instance": state.settings.instance,
         "boot": state.boot,
@@ -47,11 +47,11 @@
             {
                 "instance": m.instance,
                 "data_centre": m.data_centre,
-                "heard_s": _age(now, m.heard_at),
+                "heard_s": _age(now, m.last_received_at),
                 "routes_version": m.routes_version,
                 "targets_version": m.targets_version,
-                "leaving": m.leaving,
-                "store_lost": m.store_lost,
+                "leaving": m.draining,
+                "store_lost": m.table_unreachable,
             }
             for m in sorted(state.members.values(), key=_name)
         ],
