--- a/copperloom/decisions/health.py
+++ b/copperloom/decisions/health.py
@@ -12,14 +12,14 @@
 
 __all__ = [
     "Health",
-    "failed",
-    "hear",
+    "record_failure",
+    "apply_peer_penalties",
     "penalty",
-    "reported",
-    "succeeded",
-    "take_report",
-    "to_report",
-    "to_tell",
+    "reported_penalty",
+    "record_success",
+    "apply_report",
+    "failures_to_report",
+    "penalties_to_share",
 ]
 
 # Half of a penalty is forgotten in this time: a fault that lasts is found
@@ -32,17 +32,17 @@
 # One that writes slowly makes all that come late.
 SLOW = 2.0
 # An answer takes away this share: two in a row clear most of a failure.
-FORGIVEN = 0.6
-MOST = 12.0
+SUCCESS_FACTOR = 0.6
+MAX_PENALTY = 12.0
 # Penalties from here on are told to peers: two failures within some seconds,
 # or one of a kind that hits all callers.
-TELL_FROM = 1.0
+MIN_SHARED_PENALTY = 1.0
 # Those from here on are reported to owners, which place for their peers: a
 # failure that each peer met once only shows when they are added up.
-REPORT_FROM = 0.2
+MIN_REPORTED_PENALTY = 0.2
 # What a peer saw counts for less than what was seen here: a fault may be that
 # of the peer's network, or hit only callers of its data centre.
-HEARSAY = 0.7
+PEER_DISCOUNT = 0.7
 
 
 @dataclasses.dataclass(slots=True)
@@ -65,43 +65,47 @@
     return known.points * 0.5 ** ((now - known.at) / HALF_LIFE_S)
 
 
-def failed(known: Health, now: float, points: float = BROKEN) -> None:
+def record_failure(known: Health, now: float, points: float = BROKEN) -> None:
     """Notes a failure."""
-    known.points = min(MOST, penalty(known, now) + points)
+    known.points = min(MAX_PENALTY, penalty(known, now) + points)
     known.at = now
 
 
-def succeeded(known: Health, now: float) -> None:
+def record_success(known: Health, now: float) -> None:
     """Notes an answer."""
-    known.points = penalty(known, now) * (1.0 - FORGIVEN)
+    known.points = penalty(known, now) * (1.0 - SUCCESS_FACTOR)
     known.at = now
 
 
-def to_tell(seen: dict[str, Health], now: float) -> dict[str, float]:
+def penalties_to_share(seen: dict[str, Health], now: float) -> dict[str, float]:
     """Returns the penalties by target that peers should know of.
 
     Only what was seen here is told, never what was heard: a rumour would
     otherwise keep itself alive.
     """
     points = {name: penalty(known, now) for name, known in seen.items()}
-    return {name: p for name, p in points.items() if p >= TELL_FROM}
+    return {name: p for name, p in points.items() if p >= MIN_SHARED_PENALTY}
 
 
-def hear(heard: dict[str, Health], told: dict[str, float], now: float) -> None:
+def apply_peer_penalties(
+    heard: dict[str, Health], told: dict[str, float], now: float
+) -> None:
     """Takes over penalties that a peer tells; the worst word counts."""
     for name, points in told.items():
         known = heard.setdefault(name, Health())
-        known.points = max(penalty(known, now), min(MOST, points * HEARSAY))
+        known.points = max(
+            penalty(known, now), min(MAX_PENALTY, points * PEER_DISCOUNT)
+        )
         known.at = now
 
 
-def to_report(seen: dict[str, Health], now: float) -> dict[str, float]:
+def failures_to_report(seen: dict[str, Health], now: float) -> dict[str, float]:
     """Returns the penalties by target that owners should know of."""
     points = {name: penalty(known, now) for name, known in seen.items()}
-    return {name: p for name, p in points.items() if p >= REPORT_FROM}
+    return {name: p for name, p in points.items() if p >= MIN_REPORTED_PENALTY}
 
 
-def take_report(
+def apply_report(
     reports: dict[str, dict[str, Health]],
     peer: str,
     told: dict[str, float],
@@ -123,9 +127,11 @@
         reports.setdefault(target, {})[peer] = Health(points, now)
 
 
-def reported(by_peer: dict[str, Health], now: float) -> float:
+def reported_penalty(by_peer: dict[str, Health], now: float) -> float:
     """Returns the penalty that all peers' reports on a target come to.
 
     An owner goes by them as if it had met the failures itself.
     """
-    return min(MOST, sum(penalty(known, now) for known in by_peer.values()))
+    return min(
+        MAX_PENALTY, sum(penalty(known, now) for known in by_peer.values())
+    )
--- a/copperloom/decisions/tests/test_health.py
+++ b/copperloom/decisions/tests/test_health.py
@@ -13,28 +13,28 @@
         seen by themselves would.
         """
         seen = {"t": health.Health()}
-        health.failed(seen["t"], 10.0, health.SLOW)
-        told = health.to_tell(seen, 10.0)
+        health.record_failure(seen["t"], 10.0, health.SLOW)
+        told = health.penalties_to_share(seen, 10.0)
         heard: dict[str, health.Health] = {}
-        health.hear(heard, told, 10.0)
+        health.apply_peer_penalties(heard, told, 10.0)
         first = health.penalty(heard["t"], 10.0)
-        self.assertAlmostEqual(first, health.SLOW * health.HEARSAY)
+        self.assertAlmostEqual(first, health.SLOW * health.PEER_DISCOUNT)
         later = health.penalty(heard["t"], 10.0 + health.HALF_LIFE_S)
         self.assertAlmostEqual(later, first / 2)
 
     def test_many_peers_that_tell_the_same_count_once(self):
         heard: dict[str, health.Health] = {}
         for _ in range(50):
-            health.hear(heard, {"t": 2.0}, 1.0)
+            health.apply_peer_penalties(heard, {"t": 2.0}, 1.0)
         self.assertAlmostEqual(
-            health.penalty(heard["t"], 1.0), 2.0 * health.HEARSAY
+            health.penalty(heard["t"], 1.0), 2.0 * health.PEER_DISCOUNT
         )
 
     def test_single_failure_is_kept_to_oneself(self):
         """A target fails a request in a hundred, as sound ones do."""
         seen = {"t": health.Health()}
-        health.failed(seen["t"], 1.0, health.BROKEN)
-        self.assertEqual(health.to_tell(seen, 1.5), {})
+        health.record_failure(seen["t"], 1.0, health.BROKEN)
+        self.assertEqual(health.penalties_to_share(seen, 1.5), {})
 
 
 class ReportTest(unittest.TestCase):
@@ -46,16 +46,18 @@
         reports: dict[str, dict[str, health.Health]] = {}
         for number in range(4):
             seen = {"t": health.Health()}
-            health.failed(seen["t"], 1.0)
-            told = health.to_report(seen, 1.0)
+            health.record_failure(seen["t"], 1.0)
+            told = health.failures_to_report(seen, 1.0)
             for _ in range(3):
-                health.take_report(reports, f"peer-{number}", told, 1.0)
-        self.assertAlmostEqual(health.reported(reports["t"], 1.0), 4.0)
+                health.apply_report(reports, f"peer-{number}", told, 1.0)
+        self.assertAlmostEqual(health.reported_penalty(reports["t"], 1.0), 4.0)
 
     def test_report_is_replaced_and_fades(self):
         reports: dict[str, dict[str, health.Health]] = {}
-        health.take_report(reports, "peer", {"t": 2.0}, 1.0)
+        health.apply_report(reports, "peer", {"t": 2.0}, 1.0)
         later = 1.0 + health.HALF_LIFE_S
-        self.assertAlmostEqual(health.reported(reports["t"], later), 1.0)
-        health.take_report(reports, "peer", {}, later)
+        self.assertAlmostEqual(
+            health.reported_penalty(reports["t"], later), 1.0
+        )
+        health.apply_report(reports, "peer", {}, later)
         self.assertEqual(reports, {})
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -166,10 +166,10 @@
 class HealthTest(unittest.TestCase):
     def test_failures_fade_and_answers_forgive(self):
         known = health.Health()
-        health.failed(known, 0.0, health.UNREACHABLE)
+        health.record_failure(known, 0.0, health.UNREACHABLE)
         self.assertAlmostEqual(health.penalty(known, 0.0), 3.0)
         self.assertAlmostEqual(health.penalty(known, health.HALF_LIFE_S), 1.5)
-        health.succeeded(known, 0.0)
+        health.record_success(known, 0.0)
         self.assertLess(health.penalty(known, 0.0), 1.5)
 
     def test_nothing_known(self):
--- a/copperloom/ingress/adopt.py
+++ b/copperloom/ingress/adopt.py
@@ -82,8 +82,8 @@
             # Peers may have told of work at one that is only new here.
             inflight_table.drop_target(state.inflight, entry.name)
         state.health.pop(entry.name, None)
-        state.heard_health.pop(entry.name, None)
-        state.reports.pop(entry.name, None)
+        state.peer_health.pop(entry.name, None)
+        state.failure_reports.pop(entry.name, None)
     for name, entry in before.items():
         if entry is not None and name not in state.targets.entries:
             inflight_table.drop_target(state.inflight, name)
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -152,8 +152,10 @@
     now: float,
 ) -> plans.Candidate:
     seen = health.penalty(state.health.get(entry.name), now)
-    heard = health.penalty(state.heard_health.get(entry.name), now)
-    reported = health.reported(state.reports.get(entry.name, {}), now)
+    heard = health.penalty(state.peer_health.get(entry.name), now)
+    reported = health.reported_penalty(
+        state.failure_reports.get(entry.name, {}), now
+    )
     return plans.Candidate(
         name=entry.name,
         load=load.get(entry.name, inflight.TargetLoad()),
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -80,7 +80,7 @@
     failures: dict[str, float] = {}
     wants_members: bool = False
     busy: dict[str, float] = {}
-    fleet: int = 0
+    fleet_size: int = 0
 
 
 class Question(msgspec.Struct, array_like=True, tag="q"):
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -104,7 +104,7 @@
     if by_helper:
         points = health.UNREACHABLE
     known = ex.state.health.setdefault(culprit, health.Health())
-    health.failed(known, now, points)
+    health.record_failure(known, now, points)
     # An owner would send the next peer's request to the same target.
     ex.state.news.set()
     ex.state.metrics.attempts.labels(type(error).__name__).inc()
@@ -195,7 +195,7 @@
 def _answered(ex: exchange.Exchange, target: str) -> None:
     known = ex.state.health.get(target)
     if known is not None and not ex.slow:
-        health.succeeded(known, asyncio.get_running_loop().time())
+        health.record_success(known, asyncio.get_running_loop().time())
     ex.state.metrics.attempts.labels("answered").inc()
 
 
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -249,7 +249,7 @@
     digest = _digest(gossip.state, now, joined)
     digest.wants_members = wants_members
     if is_large_fleet(gossip.state):
-        digest.failures = health.to_report(gossip.state.health, now)
+        digest.failures = health.failures_to_report(gossip.state.health, now)
     digest.busy = busy or {}
     data = datagrams.encode(digest)
     if len(data) > datagrams.MOST_BYTES:
@@ -280,10 +280,12 @@
         ],
         penalties={
             name: round(points, 1)
-            for name, points in health.to_tell(state.health, now).items()
+            for name, points in health.penalties_to_share(
+                state.health, now
+            ).items()
         },
         joined=joined,
-        fleet=fleet_size(state),
+        fleet_size=fleet_size(state),
     )
 
 
@@ -296,14 +298,16 @@
         state.inflight, told.sender.instance, heard
     ):
         return
-    health.hear(state.heard_health, told.penalties, now)
-    health.take_report(state.reports, told.sender.instance, told.failures, now)
+    health.apply_peer_penalties(state.peer_health, told.penalties, now)
+    health.apply_report(
+        state.failure_reports, told.sender.instance, told.failures, now
+    )
     member = introductions.take(state, told.sender, now)
     started = member.boot != told.boot
     if started:
         logs.event("member_joined", member=member.instance, boot=told.boot)
     _update(member, told)
-    state.fleet = max(state.fleet, told.fleet)
+    state.fleet = max(state.fleet, told.fleet_size)
     if told.busy:
         member.busy = told.busy
         member.busy_at = now
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -52,10 +52,10 @@
     # Targets that failed of late are avoided.
     "penalties": (
         Switch("decisions.planner", "PENALTY_COST", 0.0),
-        Switch("decisions.health", "MOST", 0.0),
+        Switch("decisions.health", "MAX_PENALTY", 0.0),
     ),
     # Penalties are told to peers.
-    "hearsay": (Switch("decisions.health", "HEARSAY", 0.0),),
+    "hearsay": (Switch("decisions.health", "PEER_DISCOUNT", 0.0),),
     # Targets that write slowly are noticed.
     "pace": (Switch("decisions.decode_rate", "SLOW_FACTOR", _NEVER),),
     # Streams that stand still are taken up elsewhere.
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -104,7 +104,7 @@
         return
     ex.slow = True
     known = ex.state.health.setdefault(ex.plan.lead, health.Health())
-    health.failed(known, now, health.SLOW)
+    health.record_failure(known, now, health.SLOW)
     ex.state.news.set()
     logs.event(
         "target_slow",
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -67,9 +67,9 @@
             and had the time to answer.
         budget: The budget of repeats.
         health: Failures of targets of late that were seen here, by name.
-        heard_health: Those that peers have told of.
-        reports: Those that peers have met for which this instance places, by
-            target and peer.
+        peer_health: Those that peers have told of.
+        failure_reports: Those that peers have met for which this instance
+            places, by target and peer.
         members: Other instances, by name.
         channels: Connections to them.
         uplink: What is on its way to them.
@@ -116,8 +116,8 @@
         self.settled = asyncio.Event()
         self.budget = budget.Budget(budget_terms(own))
         self.health: dict[str, health.Health] = {}
-        self.heard_health: dict[str, health.Health] = {}
-        self.reports: dict[str, dict[str, health.Health]] = {}
+        self.peer_health: dict[str, health.Health] = {}
+        self.failure_reports: dict[str, dict[str, health.Health]] = {}
         self.members: dict[str, Member] = {}
         self.channels = client.Channels()
         self.uplink = fetch_policy.Uplink()
--- a/copperloom/ingress/tests/test_catchup.py
+++ b/copperloom/ingress/tests/test_catchup.py
@@ -69,7 +69,7 @@
         gossip._hear(told, newer)
         gossip._hear(told, older)
         now = asyncio.get_running_loop().time()
-        heard = state.heard_health.get("t")
+        heard = state.peer_health.get("t")
         self.assertEqual(health.penalty(heard, now), 0.0)
 
 
