--- a/copperloom/decisions/members.py
+++ b/copperloom/decisions/members.py
@@ -145,7 +145,7 @@
     In a large fleet few of those that live are heard, so all count that are
     known of.
     """
-    if shards.is_divided(len(members) + 1):
+    if shards.has_owners(len(members) + 1):
         return len(members) + 1
     return len(live(members, now)) + 1
 
--- a/copperloom/decisions/registry.py
+++ b/copperloom/decisions/registry.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "Registry",
-    "division",
+    "usable_by_shard",
     "find",
-    "note_near",
-    "note_trouble",
+    "set_low_latency",
+    "record_outage",
     "replace",
     "services",
     "update",
@@ -37,26 +37,26 @@
         missing: Entries that vanished around an outage, with the monotonic
             time until which they count.
         version: Version of the table that this is as of.
-        trouble_at: Monotonic time of the last failed call to the platform.
+        outage_at: Monotonic time of the last failed call to the platform.
         ready: Entries that take new work, by service and shard; made again
             after a change, since each request needs them.
         services: Services that entries belong to; None after a change.
-        near: Services whose data centres are near each other.
+        low_latency: Services whose data centres are near each other.
     """
 
     def __init__(self):
         self.entries: dict[str, routing.TargetEntry] = {}
         self.missing: dict[str, tuple[routing.TargetEntry, float]] = {}
         self.version = 0
-        self.trouble_at = float("-inf")
+        self.outage_at = float("-inf")
         self.ready: dict[str, shards.Division] = {}
         self.services: frozenset[str] | None = None
-        self.near: frozenset[str] = frozenset()
+        self.low_latency: frozenset[str] = frozenset()
 
 
-def note_trouble(reg: Registry, now: float) -> None:
+def record_outage(reg: Registry, now: float) -> None:
     """Notes that the platform did not answer."""
-    reg.trouble_at = now
+    reg.outage_at = now
 
 
 def replace(
@@ -111,7 +111,7 @@
     old = reg.entries.pop(name, None)
     if old is None or old.draining:
         return
-    until = reg.trouble_at + LAPSE_S
+    until = reg.outage_at + LAPSE_S
     if now < until:
         reg.missing[name] = (old, until)
 
@@ -124,10 +124,10 @@
     return entry
 
 
-def note_near(reg: Registry, near: frozenset[str]) -> None:
+def set_low_latency(reg: Registry, low_latency: frozenset[str]) -> None:
     """Notes the services whose data centres are near each other."""
-    if near != reg.near:
-        reg.near = near
+    if low_latency != reg.low_latency:
+        reg.low_latency = low_latency
         reg.ready.clear()
 
 
@@ -142,10 +142,10 @@
     reg: Registry, service: str, now: float
 ) -> list[routing.TargetEntry]:
     """Lists the targets of a service that may get new work."""
-    return division(reg, service, now).targets
+    return usable_by_shard(reg, service, now).targets
 
 
-def division(reg: Registry, service: str, now: float) -> shards.Division:
+def usable_by_shard(reg: Registry, service: str, now: float) -> shards.Division:
     """Returns the targets of a service that may get new work, by shard."""
     found = reg.ready.get(service)
     if found is None:
@@ -155,7 +155,7 @@
                 for e in reg.entries.values()
                 if e.service == service and not e.draining
             ],
-            near=service in reg.near,
+            low_latency=service in reg.low_latency,
         )
         reg.ready[service] = found
     if found.targets:
@@ -166,5 +166,5 @@
             for entry, until in reg.missing.values()
             if entry.service == service and now < until
         ],
-        near=service in reg.near,
+        low_latency=service in reg.low_latency,
     )
--- a/copperloom/decisions/shards.py
+++ b/copperloom/decisions/shards.py
@@ -21,16 +21,16 @@
 
 __all__ = [
     "OWNERS",
-    "SMALL_FLEET",
+    "MAX_SMALL_FLEET",
     "Division",
     "Instance",
     "Shard",
-    "are_near",
+    "has_low_latency",
     "divide",
-    "home",
-    "is_divided",
+    "home_shard",
+    "has_owners",
     "rank",
-    "within",
+    "targets_in",
 ]
 
 # Instances that hear of the work of a shard. One places for all; the next ones
@@ -38,15 +38,15 @@
 OWNERS = 3
 # Up to so many instances all hear of all work, and each places for itself: a
 # message to each costs less than asking another.
-SMALL_FLEET = 16
+MAX_SMALL_FLEET = 16
 # Targets that make up a shard of their own: fewer engines can't read the
 # longest prompts in time.
-LEAST_TARGETS = 8
+MIN_SHARD_TARGETS = 8
 # Most targets that are one shard though they stand in several data centres.
-MOST_TOGETHER = 100
+MAX_COMBINED_TARGETS = 100
 # Data centres no farther than this from each other are near: two ways and a
 # placement are well below an owner's patience.
-NEAR_S = 0.002
+LOW_LATENCY_S = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,18 +90,18 @@
     by_shard: Mapping[str, list[routing.TargetEntry]]
 
 
-def are_near(engine: routing.EngineSpec | None) -> bool:
+def has_low_latency(engine: routing.EngineSpec | None) -> bool:
     """Tells whether a service's data centres are stated to be near."""
-    return engine is not None and engine.most_delay_s <= NEAR_S
+    return engine is not None and engine.most_delay_s <= LOW_LATENCY_S
 
 
-def is_divided(instances: int) -> bool:
+def has_owners(instances: int) -> bool:
     """Tells whether a fleet of this size has owners."""
-    return instances > SMALL_FLEET
+    return instances > MAX_SMALL_FLEET
 
 
 def divide(
-    targets: list[routing.TargetEntry], *, near: bool = False
+    targets: list[routing.TargetEntry], *, low_latency: bool = False
 ) -> Division:
     """Divides the targets of a service by data centre.
 
@@ -110,9 +110,9 @@
 
     Args:
         targets: The targets.
-        near: Whether all data centres are near each other.
+        low_latency: Whether all data centres are near each other.
     """
-    together = near and len(targets) <= MOST_TOGETHER
+    together = low_latency and len(targets) <= MAX_COMBINED_TARGETS
     large = [] if together else _large(_counts(targets))
     joined = {dc: _joined(dc, large) for dc in _counts(targets)}
     by_shard: dict[str, list[routing.TargetEntry]] = {}
@@ -121,7 +121,7 @@
     return Division(targets, tuple(large), by_shard)
 
 
-def home(service: str, division: Division, data_centre: str) -> Shard:
+def home_shard(service: str, division: Division, data_centre: str) -> Shard:
     """Returns the shard that an instance's requests go to.
 
     Args:
@@ -132,7 +132,7 @@
     return Shard(service, _joined(data_centre, division.large))
 
 
-def within(shard: Shard, division: Division) -> list[routing.TargetEntry]:
+def targets_in(shard: Shard, division: Division) -> list[routing.TargetEntry]:
     """Lists the targets of a shard; all of them if it has none."""
     if not shard.data_centre:
         return division.targets
@@ -172,7 +172,7 @@
 
 
 def _large(counts: Mapping[str, int]) -> list[str]:
-    return [dc for dc, count in counts.items() if count >= LEAST_TARGETS]
+    return [dc for dc, count in counts.items() if count >= MIN_SHARD_TARGETS]
 
 
 def _joined(data_centre: str, large: Sequence[str]) -> str:
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -198,7 +198,7 @@
         """The table was away; all entries lapsed and come back within 2 s."""
         reg = registry.Registry()
         registry.update(reg, [("t", _entry())], 1, 0.0)
-        registry.note_trouble(reg, 10.0)
+        registry.record_outage(reg, 10.0)
         registry.replace(reg, [], 2, 10.1)
         self.assertEqual(registry.usable(reg, "s", 11.0), [_entry()])
         self.assertEqual(registry.usable(reg, "s", 12.1), [])
@@ -209,14 +209,14 @@
         reg = registry.Registry()
         pair = [("t", _entry()), ("u", _entry("u"))]
         registry.update(reg, pair, 1, 0.0)
-        registry.note_trouble(reg, 10.0)
+        registry.record_outage(reg, 10.0)
         registry.update(reg, [("t", None)], 2, 10.1)
         self.assertEqual(registry.usable(reg, "s", 10.2), [_entry("u")])
 
     def test_draining_target_that_vanishes_is_gone(self):
         reg = registry.Registry()
         registry.update(reg, [("t", _entry(draining=True))], 1, 0.0)
-        registry.note_trouble(reg, 10.0)
+        registry.record_outage(reg, 10.0)
         registry.update(reg, [("t", None)], 2, 10.1)
         self.assertEqual(registry.usable(reg, "s", 10.2), [])
 
--- a/copperloom/decisions/tests/test_shards.py
+++ b/copperloom/decisions/tests/test_shards.py
@@ -17,36 +17,40 @@
 class DivideTest(unittest.TestCase):
     def test_each_data_centre_with_enough_is_a_shard(self):
         targets = _targets(a=9, b=8)
-        shard = shards.home("s", shards.divide(targets), "b")
+        shard = shards.home_shard("s", shards.divide(targets), "b")
         self.assertEqual(shard, shards.Shard("s", "b"))
-        self.assertEqual(len(shards.within(shard, shards.divide(targets))), 8)
+        self.assertEqual(
+            len(shards.targets_in(shard, shards.divide(targets))), 8
+        )
 
     def test_few_targets_are_not_divided(self):
         targets = _targets(a=5, b=5, c=4)
         divided = shards.divide(targets)
-        shard = shards.home("s", divided, "b")
+        shard = shards.home_shard("s", divided, "b")
         self.assertEqual(shard, shards.Shard("s"))
-        self.assertEqual(shards.within(shard, divided), targets)
+        self.assertEqual(shards.targets_in(shard, divided), targets)
 
     def test_near_data_centres_are_one_shard(self):
         """A peak of long prompts comes in one of three near data centres."""
         targets = _targets(a=26, b=26, c=26)
-        near = shards.divide(targets, near=True)
-        shard = shards.home("s", near, "b")
+        near = shards.divide(targets, low_latency=True)
+        shard = shards.home_shard("s", near, "b")
         self.assertEqual(shard, shards.Shard("s"))
-        self.assertEqual(len(shards.within(shard, near)), 78)
+        self.assertEqual(len(shards.targets_in(shard, near)), 78)
 
     def test_more_targets_than_one_owner_places_on(self):
         targets = _targets(a=400, b=400)
-        near = shards.divide(targets, near=True)
-        self.assertEqual(shards.home("s", near, "b"), shards.Shard("s", "b"))
+        near = shards.divide(targets, low_latency=True)
+        self.assertEqual(
+            shards.home_shard("s", near, "b"), shards.Shard("s", "b")
+        )
 
     def test_every_target_is_in_one_shard(self):
         """Small data centres join large ones; no target has two owners."""
         targets = _targets(a=9, b=3, c=8, d=1)
         divided = shards.divide(targets)
         found = [
-            shards.within(shards.home("s", divided, dc), divided)
+            shards.targets_in(shards.home_shard("s", divided, dc), divided)
             for dc in ("a", "c")
         ]
         names = [t.name for part in found for t in part]
@@ -54,12 +58,12 @@
 
     def test_instance_without_targets_near(self):
         targets = _targets(a=9, b=8)
-        shard = shards.home("s", shards.divide(targets), "z")
+        shard = shards.home_shard("s", shards.divide(targets), "z")
         self.assertIn(shard.data_centre, ("a", "b"))
 
     def test_data_centre_whose_targets_are_gone(self):
         """All engines of a data centre die; its callers go elsewhere."""
-        shard = shards.home("s", shards.divide(_targets(a=9)), "b")
+        shard = shards.home_shard("s", shards.divide(_targets(a=9)), "b")
         self.assertEqual(shard, shards.Shard("s", "a"))
 
 
--- a/copperloom/ingress/adopt.py
+++ b/copperloom/ingress/adopt.py
@@ -37,9 +37,11 @@
     )
     state.table = table
     near = {
-        s.name for s in table.services.values() if shards.are_near(s.engine)
+        s.name
+        for s in table.services.values()
+        if shards.has_low_latency(s.engine)
     }
-    registry.note_near(state.targets, frozenset(near))
+    registry.set_low_latency(state.targets, frozenset(near))
     state.routes_at = asyncio.get_running_loop().time()
     state.routes_raw = raw
     state.routes_packed = b""
--- a/copperloom/ingress/assign.py
+++ b/copperloom/ingress/assign.py
@@ -69,12 +69,12 @@
     own = state.settings.data_centre
     found = {}
     for service in registry.services(state.targets):
-        usable = registry.division(state.targets, service, now)
-        shard = shards.home(service, usable, own)
+        usable = registry.usable_by_shard(state.targets, service, now)
+        shard = shards.home_shard(service, usable, own)
         if shard.data_centre != own:
             continue
         asked = placement_query.Query("", shard, own)
-        known = shards.within(shard, usable)
+        known = shards.targets_in(shard, usable)
         drawn = planner.draw_targets(known, frozenset(), state.rng)
         candidates = _candidates(state, asked, drawn, now)
         found[service] = round(spillover.utilisation(candidates), 3)
@@ -116,8 +116,8 @@
 def _usable(
     state: IngressState, asked: placement_query.Query, now: float
 ) -> list[routing.TargetEntry]:
-    usable = registry.division(state.targets, asked.shard.service, now)
-    known = shards.within(asked.shard, usable)
+    usable = registry.usable_by_shard(state.targets, asked.shard.service, now)
+    known = shards.targets_in(asked.shard, usable)
     fresh = [e for e in known if e.name not in asked.avoid]
     return fresh or known
 
--- a/copperloom/ingress/audience.py
+++ b/copperloom/ingress/audience.py
@@ -101,9 +101,9 @@
     found = {_home(state)}
     # Their owners may stand in other data centres, and are asked only if they
     # have been heard of late; an instance that was idle would place alone.
-    for service in state.targets.near:
-        usable = registry.division(state.targets, service, now)
-        home = shards.home(service, usable, state.settings.data_centre)
+    for service in state.targets.low_latency:
+        usable = registry.usable_by_shard(state.targets, service, now)
+        home = shards.home_shard(service, usable, state.settings.data_centre)
         found.add(home)
     for request, (shard, placed_at) in list(state.shards_used.items()):
         if request in state.inflight.own:
--- a/copperloom/ingress/follow.py
+++ b/copperloom/ingress/follow.py
@@ -156,7 +156,7 @@
 
 
 def _lost(state, table: str, error, failures: int) -> None:
-    registry.note_trouble(state.targets, asyncio.get_running_loop().time())
+    registry.record_outage(state.targets, asyncio.get_running_loop().time())
     state.metrics.store_failures.labels(table).inc()
     state.lost_tables.add(table)
     if failures == 1:
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/owners.py
@@ -36,7 +36,7 @@
     """Returns the shard that this instance's requests for a service go to."""
     if not is_large_fleet(state):
         return shards.Shard(service)
-    return shards.home(service, usable, state.settings.data_centre)
+    return shards.home_shard(service, usable, state.settings.data_centre)
 
 
 async def decide(
--- a/copperloom/ingress/place.py
+++ b/copperloom/ingress/place.py
@@ -35,7 +35,7 @@
     give_up = begun + (ex.deadline - begun) * WAIT_SHARE
     while True:
         now = loop.time()
-        usable = registry.division(ex.state.targets, ex.service, now)
+        usable = registry.usable_by_shard(ex.state.targets, ex.service, now)
         if not usable.targets:
             raise exception.NoTargetError(
                 f"no target of {ex.service}", retry_after_s=_NO_TARGET_RETRY_S
--- a/copperloom/ingress/roster.py
+++ b/copperloom/ingress/roster.py
@@ -80,7 +80,7 @@
     itself just started knows few, and its word alone would leave this instance
     without the owners.
     """
-    knows_few = not shards.is_divided(len(state.members) + 1)
+    knows_few = not shards.has_owners(len(state.members) + 1)
     return knows_few or _is_alone(state)
 
 
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -152,7 +152,7 @@
 
 def is_large_fleet(state: IngressState) -> bool:
     """Tells whether owners place for the others, as far as is known here."""
-    return shards.is_divided(fleet_size(state))
+    return shards.has_owners(fleet_size(state))
 
 
 def live_members(state: IngressState, now: float) -> list[Member]:
--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -131,7 +131,7 @@
         entry = system.fronts[0].entry
         system.store.down = 503
         system.store._wake()
-        await fixtures.until(lambda: entry.targets.trouble_at > 0)
+        await fixtures.until(lambda: entry.targets.outage_at > 0)
         for name in list(system.targets):
             system.store.remove("servers", name)
         system.store.down = None
--- a/copperloom/ingress/tests/test_owners.py
+++ b/copperloom/ingress/tests/test_owners.py
@@ -11,14 +11,14 @@
 from copperloom.platform.standins import target as target_standin
 
 # One more than in a small fleet, and some that may be lost.
-_FRONTS = shards.SMALL_FLEET + 4
+_FRONTS = shards.MAX_SMALL_FLEET + 4
 _LIMIT_S = 20.0
 _AWAY_S = 4.0
 
 
 async def _start_fleet(case, data_centres=("a",), **changes) -> fixtures.System:
     """Starts a large fleet; returns it once its instances know owners."""
-    few = mock.patch.object(shards, "LEAST_TARGETS", 1)
+    few = mock.patch.object(shards, "MIN_SHARD_TARGETS", 1)
     few.start()
     case.addCleanup(few.stop)
     system = await fixtures.start_system(case, fronts=0, **changes)
@@ -257,7 +257,7 @@
         The owner stands in the other data centre; the first caller's prompt
         is placed by it all the same, who knows what the others have placed.
         """
-        near = mock.patch.object(shards, "are_near", return_value=True)
+        near = mock.patch.object(shards, "has_low_latency", return_value=True)
         near.start()
         self.addCleanup(near.stop)
         system = await _start_fleet(self, ("a", "b"), engines=4)
