--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -33,7 +33,7 @@
     server,
     stopping,
 )
-from copperloom.ingress.state import IngressState, budget_terms
+from copperloom.ingress.state import IngressState, budget_policy
 from copperloom.peers import catalog, client
 from copperloom.platform import settings as platform_settings
 from copperloom.platform import store
@@ -224,7 +224,7 @@
         return
     state.settings = fresh
     state.store.address = fresh.store
-    state.budget.terms = budget_terms(fresh)
+    state.budget.terms = budget_policy(fresh)
     logs.event("reloaded", store=fresh.store, grace_s=fresh.grace_s)
 
 
--- a/copperloom/decisions/budget.py
+++ b/copperloom/decisions/budget.py
@@ -11,14 +11,14 @@
 import collections
 import dataclasses
 
-__all__ = ["Budget", "Terms", "left", "note_request", "spend"]
+__all__ = ["Budget", "BudgetPolicy", "left", "record_request", "spend"]
 
 # Instances that are not known of also spend; and windows are not aligned.
 SAFE_SHARE = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class BudgetPolicy:
     """The bound for all instances together.
 
     Attributes:
@@ -41,13 +41,13 @@
         repeats: Monotonic times of repeats, by service.
     """
 
-    def __init__(self, terms: Terms):
+    def __init__(self, terms: BudgetPolicy):
         self.terms = terms
         self.requests: dict[str, collections.deque[float]] = {}
         self.repeats: dict[str, collections.deque[float]] = {}
 
 
-def note_request(budget: Budget, service: str, now: float) -> None:
+def record_request(budget: Budget, service: str, now: float) -> None:
     """Counts a request for a service."""
     _recent(budget, budget.requests, service, now).append(now)
 
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -137,27 +137,27 @@
 class BudgetTest(unittest.TestCase):
     def test_nine_instances_stay_within_the_bound(self):
         """Every request of every instance fails and wants a repeat."""
-        terms = budget.Terms(ratio=0.2, window_s=10.0, slack=106)
+        terms = budget.BudgetPolicy(ratio=0.2, window_s=10.0, slack=106)
         own = [budget.Budget(terms) for _ in range(9)]
         requests = repeats = 0
         for step in range(100):
             now = step * 0.1
             for b in own:
-                budget.note_request(b, "s", now)
+                budget.record_request(b, "s", now)
                 requests += 1
                 repeats += budget.spend(b, "s", now, len(own))
         self.assertLessEqual(repeats, 0.2 * requests + 106)
         self.assertGreater(repeats, 0.2 * requests)
 
     def test_window_slides(self):
-        b = budget.Budget(budget.Terms(0.0, 10.0, 10))
+        b = budget.Budget(budget.BudgetPolicy(0.0, 10.0, 10))
         spent = [budget.spend(b, "s", 0.0, 1) for _ in range(10)]
         self.assertEqual(sum(spent), 7)
         self.assertFalse(budget.spend(b, "s", 9.9, 1))
         self.assertTrue(budget.spend(b, "s", 10.1, 1))
 
     def test_services_have_budgets_of_their_own(self):
-        b = budget.Budget(budget.Terms(0.0, 10.0, 2))
+        b = budget.Budget(budget.BudgetPolicy(0.0, 10.0, 2))
         self.assertTrue(budget.spend(b, "s", 0.0, 1))
         self.assertFalse(budget.spend(b, "s", 0.0, 1))
         self.assertTrue(budget.spend(b, "t", 0.0, 1))
--- a/copperloom/ingress/admit.py
+++ b/copperloom/ingress/admit.py
@@ -77,7 +77,7 @@
             ex.priority = holder.priority
     now = asyncio.get_running_loop().time()
     ex.service = _service(ex, now)
-    budget.note_request(ex.state.budget, ex.service, now)
+    budget.record_request(ex.state.budget, ex.service, now)
     await nxt(ex)
 
 
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -26,7 +26,7 @@
 __all__ = [
     "IngressState",
     "Member",
-    "budget_terms",
+    "budget_policy",
     "fleet_size",
     "is_large_fleet",
     "live_members",
@@ -114,7 +114,7 @@
         self.listening_since = float("-inf")
         self.fleet = 0
         self.settled = asyncio.Event()
-        self.budget = budget.Budget(budget_terms(own))
+        self.budget = budget.Budget(budget_policy(own))
         self.health: dict[str, health.Health] = {}
         self.peer_health: dict[str, health.Health] = {}
         self.failure_reports: dict[str, dict[str, health.Health]] = {}
@@ -140,9 +140,11 @@
         return f"{self.settings.instance}.{self.boot}.{next(self._sequence)}"
 
 
-def budget_terms(own: settings.PlatformSettings) -> budget.Terms:
+def budget_policy(own: settings.PlatformSettings) -> budget.BudgetPolicy:
     """Returns the bound of repeats that the platform's settings state."""
-    return budget.Terms(own.retry_ratio, own.retry_window_s, own.retry_slack)
+    return budget.BudgetPolicy(
+        own.retry_ratio, own.retry_window_s, own.retry_slack
+    )
 
 
 def fleet_size(state: IngressState) -> int:
