--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -25,13 +25,13 @@
 from copperloom import exception, logs, settings
 from copperloom.daemons import held, running
 from copperloom.ingress import (
-    follow,
     gossip,
     mechanisms,
-    roster,
+    registration,
     sender,
     server,
     stopping,
+    table_watch,
 )
 from copperloom.ingress.state import IngressState, budget_policy
 from copperloom.peers import catalog, client
@@ -132,10 +132,10 @@
             state, self.metrics_address, self.callers
         )
         for name, loop in (
-            ("routes", lambda: follow.follow_routes(state)),
-            ("targets", lambda: follow.follow_targets(state)),
+            ("routes", lambda: table_watch.watch_routes(state)),
+            ("targets", lambda: table_watch.watch_targets(state)),
             ("gossip", lambda: gossip.run(self.gossip)),
-            ("members", lambda: roster.join(self.gossip)),
+            ("members", lambda: registration.join(self.gossip)),
         ):
             self.add_future(_keep_running(name, loop))
         logs.event(
@@ -147,7 +147,7 @@
 
     async def on_stop(self) -> None:
         """Drains, then closes everything."""
-        leaving = asyncio.ensure_future(roster.leave(self.entry))
+        leaving = asyncio.ensure_future(registration.leave(self.entry))
         await drain(self.entry, self.listeners, self.gossip)
         if self.entry.background:
             await asyncio.wait(self.entry.background, timeout=RELEASE_S)
@@ -201,7 +201,7 @@
     end = begun + state.settings.grace_s - RESERVE_S
     stopping.begin(state, end)
     logs.event("draining", active=state.active)
-    gossip.tell(told, begun)
+    gossip.send_digest(told, begun)
     await asyncio.sleep(min(LISTEN_ON_S, state.settings.grace_s / 2))
     await server.close_callers(listeners)
     quiet_since = loop.time()
--- a/copperloom/ingress/admit.py
+++ b/copperloom/ingress/admit.py
@@ -26,19 +26,19 @@
     and are not.
     """
     state = ex.state
-    if not (state.informed.is_set() and state.settled.is_set()):
+    if not (state.routing_known.is_set() and state.peers_synced.is_set()):
         loop = asyncio.get_running_loop()
         begun = loop.time()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(max(begun, state.hold_until)):
-                await state.informed.wait()
-                await state.settled.wait()
+                await state.routing_known.wait()
+                await state.peers_synced.wait()
         logs.event(
             "held_at_start",
             request=ex.id,
             waited_s=loop.time() - begun,
-            informed=state.informed.is_set(),
-            settled=state.settled.is_set(),
+            routing_known=state.routing_known.is_set(),
+            peers_synced=state.peers_synced.is_set(),
         )
     await nxt(ex)
 
--- a/copperloom/ingress/introductions.py
+++ b/copperloom/ingress/announcements.py
@@ -7,23 +7,28 @@
 
 from copperloom import logs
 from copperloom.decisions import shards
-from copperloom.ingress import datagrams, owners
+from copperloom.ingress import datagrams, placement_rpc
 from copperloom.ingress.state import IngressState, Member
 from copperloom.platform import catalog
 
-__all__ = ["new", "of_use", "own", "take"]
+__all__ = [
+    "recent_members",
+    "relevant_members",
+    "own_announcement",
+    "add_member",
+]
 
 # Members that became known of late are passed on for so long, some at a time.
-JOINED_S = 15.0
-MOST_JOINED = 10
+RECENT_S = 15.0
+MAX_RECENT = 10
 # Most that an answer names: a data centre and the owners of the others.
-MOST_OF_USE = 200
+MAX_RELEVANT = 200
 
 
-def own(state: IngressState) -> datagrams.Introduction:
+def own_announcement(state: IngressState) -> datagrams.Announcement:
     """Returns what others need to know to reach this instance."""
     mine = state.settings
-    return datagrams.Introduction(
+    return datagrams.Announcement(
         mine.instance,
         state.datagrams,
         mine.peers_listen,
@@ -32,22 +37,24 @@
     )
 
 
-def new(state: IngressState, now: float) -> list[datagrams.Introduction]:
+def recent_members(
+    state: IngressState, now: float
+) -> list[datagrams.Announcement]:
     """Picks members that others may not know of yet."""
     late = [
-        m for m in state.members.values() if now - m.discovered_at < JOINED_S
+        m for m in state.members.values() if now - m.discovered_at < RECENT_S
     ]
-    if len(late) > MOST_JOINED:
-        late = state.rng.sample(late, MOST_JOINED)
+    if len(late) > MAX_RECENT:
+        late = state.rng.sample(late, MAX_RECENT)
     if not late and state.members:
         # One that all others forgot would stay unknown for ever.
         late = [state.rng.choice(list(state.members.values()))]
     return [_of(m) for m in late]
 
 
-def of_use(
+def relevant_members(
     state: IngressState, member: Member, now: float
-) -> list[datagrams.Introduction]:
+) -> list[datagrams.Announcement]:
     """Picks the members that matter to one that has just started.
 
     All of its data centre, and those that may own the shards of others.
@@ -58,15 +65,15 @@
         if m.data_centre == member.data_centre
     }
     for data_centre in {m.data_centre for m in state.members.values()}:
-        order = owners.order_of(state, shards.Shard("", data_centre))
+        order = placement_rpc.order_of(state, shards.Shard("", data_centre))
         names.update(order[: 2 * shards.OWNERS])
     names -= {member.instance, state.settings.instance}
-    return [_of(state.members[n]) for n in sorted(names)][:MOST_OF_USE]
+    return [_of(state.members[n]) for n in sorted(names)][:MAX_RELEVANT]
 
 
-def take(
+def add_member(
     state: IngressState,
-    introduced: datagrams.Introduction | catalog.MemberRow,
+    introduced: datagrams.Announcement | catalog.MemberRow,
     now: float,
 ) -> Member | None:
     """Returns the member that is introduced, known from now on.
@@ -97,8 +104,8 @@
     return member
 
 
-def _of(member: Member) -> datagrams.Introduction:
-    return datagrams.Introduction(
+def _of(member: Member) -> datagrams.Announcement:
+    return datagrams.Announcement(
         member.instance,
         member.datagrams,
         member.calls,
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -13,17 +13,17 @@
 
 __all__ = [
     "MOST_BYTES",
-    "Answer",
+    "PlacementReply",
     "Digest",
-    "Introduction",
-    "Question",
+    "Announcement",
+    "PlacementRequest",
     "RawWork",
     "decode",
     "decode_work",
     "encode",
     "encode_work",
-    "from_answer",
-    "to_answer",
+    "read_reply",
+    "make_reply",
 ]
 
 # Below the size that loopback and Ethernet links take in few fragments.
@@ -54,7 +54,7 @@
     is_split: bool
 
 
-class Introduction(msgspec.Struct, array_like=True):
+class Announcement(msgspec.Struct, array_like=True):
     """A member that is passed on to those that may not know it."""
 
     instance: str
@@ -67,7 +67,7 @@
 class Digest(msgspec.Struct, array_like=True, tag="d"):
     """What an instance has in progress and goes by."""
 
-    sender: Introduction
+    sender: Announcement
     boot: str
     sequence: int
     routes_version: int
@@ -76,14 +76,14 @@
     table_unreachable: bool
     work: list[RawWork]
     penalties: dict[str, float]
-    joined: list[Introduction]
+    joined: list[Announcement]
     failures: dict[str, float] = {}
     wants_members: bool = False
     busy: dict[str, float] = {}
     fleet_size: int = 0
 
 
-class Question(msgspec.Struct, array_like=True, tag="q"):
+class PlacementRequest(msgspec.Struct, array_like=True, tag="q"):
     """Where should this request go?"""
 
     asker: str
@@ -93,7 +93,7 @@
     query: placement_query.Query
 
 
-class Answer(msgspec.Struct, array_like=True, tag="a"):
+class PlacementReply(msgspec.Struct, array_like=True, tag="a"):
     """What becomes of the request that was asked about."""
 
     number: int
@@ -109,10 +109,10 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(Digest | Question | Answer)
+_DECODER = msgspec.msgpack.Decoder(Digest | PlacementRequest | PlacementReply)
 
 
-def encode(message: Digest | Question | Answer) -> bytes:
+def encode(message: Digest | PlacementRequest | PlacementReply) -> bytes:
     """Makes a datagram."""
     data = _ENCODER.encode(message)
     if len(data) <= _PACK_ABOVE_BYTES:
@@ -120,7 +120,7 @@
     return zlib.compress(data, _PACKING_LEVEL)
 
 
-def decode(data: bytes) -> Digest | Question | Answer:
+def decode(data: bytes) -> Digest | PlacementRequest | PlacementReply:
     """Reads a datagram.
 
     Raises:
@@ -171,11 +171,13 @@
     )
 
 
-def to_answer(number: int, decided: placement_query.Decision) -> Answer:
+def make_reply(
+    number: int, decided: placement_query.Decision
+) -> PlacementReply:
     """Makes the answer that gives a decision."""
     chosen = decided.choice
     wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
-    return Answer(
+    return PlacementReply(
         number=number,
         owner=decided.decided_by,
         plan=chosen if isinstance(chosen, plans.Plan | None) else chosen.plan,
@@ -189,7 +191,7 @@
     )
 
 
-def from_answer(answer: Answer) -> placement_query.Decision:
+def read_reply(answer: PlacementReply) -> placement_query.Decision:
     """Returns the decision that an answer gives."""
     choice: plans.Choice = answer.plan
     if answer.refused:
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -18,10 +18,10 @@
 )
 from copperloom.ingress import (
     exchange,
-    place,
+    placement,
     relay,
-    repeat,
     reserve,
+    retry,
     sender,
     stopping,
 )
@@ -53,7 +53,7 @@
     """Sends the request and relays the answer."""
     unreachable = 0
     while True:
-        ex.plan = await place.place(ex)
+        ex.plan = await placement.place(ex)
         ex.placed_at = asyncio.get_running_loop().time()
         stopping.check(ex)
         try:
@@ -71,12 +71,12 @@
                 raise
         except exception.TargetRefusedError as error:
             by_helper = _failed(ex, error, health.BROKEN)
-            if not repeat.take(ex, by_helper):
+            if not retry.take(ex, by_helper):
                 error.retry_after_s = _REFUSED_RETRY_S
                 raise
         except exception.StreamBrokenError as error:
             _failed(ex, error, health.BROKEN)
-            if not ex.route.repeatable or not repeat.take(ex):
+            if not ex.route.repeatable or not retry.take(ex):
                 raise
     await nxt(ex)
 
@@ -89,7 +89,7 @@
     """
     logs.event("memory_refused", request=ex.id, error=str(error))
     now = asyncio.get_running_loop().time()
-    if now > ex.arrived + (ex.deadline - ex.arrived) * place.WAIT_SHARE:
+    if now > ex.arrived + (ex.deadline - ex.arrived) * placement.WAIT_SHARE:
         error.retry_after_s = _MEMORY_RETRY_S
         raise error
     await asyncio.sleep(ex.state.rng.uniform(0.5, 1.5) * _MEMORY_WAIT_S)
@@ -106,7 +106,7 @@
     known = ex.state.health.setdefault(culprit, health.Health())
     health.record_failure(known, now, points)
     # An owner would send the next peer's request to the same target.
-    ex.state.news.set()
+    ex.state.digest_due.set()
     ex.state.metrics.attempts.labels(type(error).__name__).inc()
     logs.event(
         "attempt_failed",
@@ -145,7 +145,9 @@
     now = asyncio.get_running_loop().time()
     if now >= ex.deadline:
         raise exception.TimeLimitPassedError(run=ex.run)
-    work = placement_query.planned_work(place.to_query(ex, now), ex.plan, now)
+    work = placement_query.planned_work(
+        placement.to_query(ex, now), ex.plan, now
+    )
     inflight_table.begin(state.inflight, ex.id, work)
     before = ex.run
     ex.sends += 1
@@ -161,7 +163,7 @@
             _headers(ex, now),
             ex.body,
             patience_s=_patience(ex, now),
-            may_give_up=lambda: repeat.may_give_up(ex),
+            may_give_up=lambda: retry.may_give_up(ex),
         ) as reply:
             await relay.relay(ex, reply, _judge(ex, reply))
         _answered(ex, entry.name)
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -18,12 +18,12 @@
 from copperloom import logs
 from copperloom.decisions import health, inflight_table, members
 from copperloom.ingress import (
-    assign,
-    audience,
-    catchup,
+    announcements,
     datagrams,
-    introductions,
-    owners,
+    local_placement,
+    peer_fetch,
+    placement_rpc,
+    recipients,
 )
 from copperloom.ingress.state import (
     IngressState,
@@ -32,23 +32,30 @@
     is_large_fleet,
 )
 
-__all__ = ["Gossip", "ask_for_members", "greet", "open_gossip", "run", "tell"]
+__all__ = [
+    "Gossip",
+    "ask_for_members",
+    "announce_start",
+    "open_gossip",
+    "run",
+    "send_digest",
+]
 
 # Peers that place before they hear of a change choose the same engine.
-GATHER_S = 0.008
+BATCH_S = 0.008
 # What has ended, or is read, matters to others no sooner than in an engine's
 # next pass; most of it goes out with the next work that is added.
-LESSER_S = 0.05
-BEAT_S = 0.5
+MINOR_CHANGE_DELAY_S = 0.05
+HEARTBEAT_S = 0.5
 # In a large fleet idle instances' beats are most of what is sent.
-LARGE_FLEET_BEAT_S = 1.0
+LARGE_FLEET_HEARTBEAT_S = 1.0
 # An instance that knows no routes or targets yet tells the owners so that they
 # pass on what they read; the first word may find them not listening yet.
-START_BEAT_S = 0.15
+START_HEARTBEAT_S = 0.15
 # Owners tell so often which members are new and how busy targets are.
 REPORT_S = 0.9
 # Instances that know of others' work answer a greeting within a round trip.
-SETTLE_S = 0.03
+REPLY_WAIT_S = 0.03
 
 
 class Gossip(asyncio.DatagramProtocol):
@@ -68,7 +75,7 @@
         self.state = state
         self.state.datagrams = address
         self.transport: asyncio.DatagramTransport | None = None
-        self.fetches = catchup.CatchUp()
+        self.fetches = peer_fetch.CatchUp()
         self.lesser: asyncio.TimerHandle | None = None
         self.told_versions = (0, 0)
         self.reported_at = float("-inf")
@@ -90,10 +97,10 @@
         except msgspec.MsgspecError as error:
             logs.event("peer_unreadable", peer=addr[0], error=str(error))
             return
-        if isinstance(told, datagrams.Question):
-            owners.answer(self.state, told)
-        elif isinstance(told, datagrams.Answer):
-            owners.take_answer(self.state, told)
+        if isinstance(told, datagrams.PlacementRequest):
+            placement_rpc.answer(self.state, told)
+        elif isinstance(told, datagrams.PlacementReply):
+            placement_rpc.take_answer(self.state, told)
         elif told.sender.instance != self.state.settings.instance:
             _hear(self, told)
 
@@ -121,40 +128,42 @@
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_beat_s(state)):
-                await state.news.wait()
-        state.news.clear()
-        tell(gossip, loop.time())
-        await asyncio.sleep(GATHER_S)
+                await state.digest_due.wait()
+        state.digest_due.clear()
+        send_digest(gossip, loop.time())
+        await asyncio.sleep(BATCH_S)
 
 
 def _beat_s(state: IngressState) -> float:
-    if not state.informed.is_set():
-        return START_BEAT_S
-    return LARGE_FLEET_BEAT_S if is_large_fleet(state) else BEAT_S
+    if not state.routing_known.is_set():
+        return START_HEARTBEAT_S
+    return LARGE_FLEET_HEARTBEAT_S if is_large_fleet(state) else HEARTBEAT_S
 
 
 def _note_change(gossip: Gossip, added: bool) -> None:
     if added:
-        gossip.state.news.set()
+        gossip.state.digest_due.set()
     elif gossip.lesser is None:
         loop = asyncio.get_running_loop()
-        gossip.lesser = loop.call_later(LESSER_S, gossip.state.news.set)
+        gossip.lesser = loop.call_later(
+            MINOR_CHANGE_DELAY_S, gossip.state.digest_due.set
+        )
 
 
-def tell(gossip: Gossip, now: float) -> None:
+def send_digest(gossip: Gossip, now: float) -> None:
     """Sends a digest to all that should hear of this instance now."""
     state = gossip.state
     if gossip.lesser is not None:
         gossip.lesser.cancel()
         gossip.lesser = None
     inflight_table.drop_silent_peers(state.inflight, now)
-    audience.forget_gone(state, now)
-    listeners = audience.listeners(state, now)
-    joined: list[datagrams.Introduction] = []
+    recipients.forget_gone(state, now)
+    listeners = recipients.listeners(state, now)
+    joined: list[datagrams.Announcement] = []
     busy: dict[str, float] = {}
     if _reports(gossip, now):
-        joined = introductions.new(state, now)
-        busy = assign.busy_by_service(state, now)
+        joined = announcements.recent_members(state, now)
+        busy = local_placement.busy_by_service(state, now)
     data = _encode(gossip, now, joined, busy=busy)
     _send(gossip, data, listeners, now)
     if _has_news(gossip):
@@ -175,7 +184,7 @@
 ) -> None:
     """Sends news to those that have not been told; they need not answer."""
     names = {m.instance for m in told}
-    for member in audience.followers(gossip.state, now):
+    for member in recipients.followers(gossip.state, now):
         if member.instance not in names:
             gossip.send(data, member.datagrams)
             members.record_reply_sent(member, now)
@@ -186,10 +195,10 @@
     if now - gossip.reported_at < REPORT_S:
         return False
     gossip.reported_at = now
-    return audience.owns_home(gossip.state, now)
+    return recipients.owns_home(gossip.state, now)
 
 
-async def greet(gossip: Gossip) -> None:
+async def announce_start(gossip: Gossip) -> None:
     """Tells all that may know of others' work that this instance has started.
 
     They answer at once. An instance that placed without their word would take
@@ -198,9 +207,11 @@
     state = gossip.state
     loop = asyncio.get_running_loop()
     now = loop.time()
-    _send(gossip, _encode(gossip, now, []), audience.to_greet(state, now), now)
-    await asyncio.sleep(SETTLE_S)
-    state.settled.set()
+    _send(
+        gossip, _encode(gossip, now, []), recipients.to_greet(state, now), now
+    )
+    await asyncio.sleep(REPLY_WAIT_S)
+    state.peers_synced.set()
 
 
 def ask_for_members(
@@ -228,9 +239,9 @@
 ) -> None:
     """Tells one member, and whom it should know if it asks for that."""
     if told.wants_members:
-        joined = introductions.of_use(gossip.state, member, now)
-    elif audience.owns_home(gossip.state, now):
-        joined = introductions.new(gossip.state, now)
+        joined = announcements.relevant_members(gossip.state, member, now)
+    elif recipients.owns_home(gossip.state, now):
+        joined = announcements.recent_members(gossip.state, now)
     else:
         joined = []
     gossip.send(_encode(gossip, now, joined), member.datagrams)
@@ -240,7 +251,7 @@
 def _encode(
     gossip: Gossip,
     now: float,
-    joined: list[datagrams.Introduction],
+    joined: list[datagrams.Announcement],
     *,
     wants_members: bool = False,
     busy: dict[str, float] | None = None,
@@ -264,16 +275,16 @@
 def _digest(
     state: IngressState,
     now: float,
-    joined: list[datagrams.Introduction],
+    joined: list[datagrams.Announcement],
 ) -> datagrams.Digest:
     return datagrams.Digest(
-        sender=introductions.own(state),
+        sender=announcements.own_announcement(state),
         boot=state.boot,
         sequence=state.sequence,
         routes_version=state.table.version,
         targets_version=state.targets.version,
         draining=state.draining,
-        table_unreachable=bool(state.lost_tables),
+        table_unreachable=bool(state.unreachable_tables),
         work=[
             datagrams.encode_work(w, now)
             for w in inflight_table.own_work(state.inflight)
@@ -302,26 +313,26 @@
     health.apply_report(
         state.failure_reports, told.sender.instance, told.failures, now
     )
-    member = introductions.take(state, told.sender, now)
+    member = announcements.add_member(state, told.sender, now)
     started = member.boot != told.boot
     if started:
         logs.event("member_joined", member=member.instance, boot=told.boot)
     _update(member, told)
-    state.fleet = max(state.fleet, told.fleet_size)
+    state.reported_fleet_size = max(state.reported_fleet_size, told.fleet_size)
     if told.busy:
         member.busy = told.busy
         member.busy_at = now
     members.record_received(member, now)
     for introduced in told.joined:
-        introductions.take(state, introduced, now)
+        announcements.add_member(state, introduced, now)
     if work or state.inflight.own:
         state.changed.set()
     wanted = started or told.wants_members
-    if wanted or audience.owes_answer(
+    if wanted or recipients.owes_answer(
         state, member, now, members.REPLY_INTERVAL_S
     ):
         _answer(gossip, member, told, now)
-    catchup.note(gossip.fetches, state, member)
+    peer_fetch.note(gossip.fetches, state, member)
 
 
 def _update(member: Member, told: datagrams.Digest) -> None:
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -68,7 +68,7 @@
     # Short prompts go before long ones at an engine.
     "priority": (Switch("ingress.forward", "LONG_PRIORITY", 1),),
     # A few instances follow the tables, and tell the others.
-    "followers": (Switch("ingress.readers", "READERS", 1_000_000),),
+    "followers": (Switch("ingress.watchers", "WATCHERS", 1_000_000),),
     # Requests that come before routes are known are held.
     "hold_at_start": (Switch("daemons.front", "START_HOLD_S", 0.0),),
 }
--- a/copperloom/ingress/metrics.py
+++ b/copperloom/ingress/metrics.py
@@ -71,7 +71,7 @@
             ["table"],
             registry=self.registry,
         )
-        self.questions = prometheus_client.Counter(
+        self.pending_queries = prometheus_client.Counter(
             "copperloom_owner_questions",
             "Placements asked of owners, by result.",
             ["result"],
--- a/copperloom/ingress/catchup.py
+++ b/copperloom/ingress/peer_fetch.py
@@ -9,7 +9,7 @@
 
 from copperloom import exception, logs
 from copperloom.decisions import fetch_policy
-from copperloom.ingress import audience
+from copperloom.ingress import recipients
 from copperloom.ingress.state import IngressState, Member, live_members
 from copperloom.peers import catalog
 
@@ -53,8 +53,8 @@
 async def _catch_up(state: IngressState) -> None:
     """Asks members until none is ahead; else has the tables read."""
     loop = asyncio.get_running_loop()
-    sharing = len(audience.neighbours(state))
-    starts = not state.informed.is_set()
+    sharing = len(recipients.neighbours(state))
+    starts = not state.routing_known.is_set()
     if not starts:
         await asyncio.sleep(fetch_policy.fetch_delay_s(sharing, state.rng))
         end = loop.time() + MOST_WAIT_S
@@ -81,7 +81,7 @@
             put_off += starts
     if _sources(state):
         logs.event("peers_gave_nothing", tried=",".join(sorted(useless)))
-        state.look_now.set()
+        state.read_tables_now.set()
 
 
 async def _ask(state: IngressState, address: str) -> catalog.Fetched:
--- a/copperloom/ingress/place.py
+++ b/copperloom/ingress/placement.py
@@ -4,7 +4,7 @@
 
 from copperloom import exception, logs
 from copperloom.decisions import placement_query, plans, registry
-from copperloom.ingress import exchange, owners
+from copperloom.ingress import exchange, placement_rpc
 
 __all__ = ["place", "to_query"]
 
@@ -40,8 +40,8 @@
             raise exception.NoTargetError(
                 f"no target of {ex.service}", retry_after_s=_NO_TARGET_RETRY_S
             )
-        ex.shard = owners.shard_of(ex.state, ex.service, usable)
-        decided = await owners.decide(ex.state, to_query(ex, now), now)
+        ex.shard = placement_rpc.shard_of(ex.state, ex.service, usable)
+        decided = await placement_rpc.decide(ex.state, to_query(ex, now), now)
         chosen = decided.choice
         if isinstance(chosen, plans.Plan):
             _tell(ex, decided, chosen, now - begun)
--- a/copperloom/ingress/owners.py
+++ b/copperloom/ingress/placement_rpc.py
@@ -16,7 +16,7 @@
     plans,
     shards,
 )
-from copperloom.ingress import assign, datagrams
+from copperloom.ingress import datagrams, local_placement
 from copperloom.ingress.state import IngressState, is_large_fleet
 
 __all__ = ["answer", "decide", "shard_of", "take_answer"]
@@ -44,7 +44,7 @@
 ) -> placement_query.Decision:
     """Decides what becomes of a request, here or at an owner of its shard."""
     if not is_large_fleet(state):
-        return assign.decide(state, asked, now)
+        return local_placement.decide(state, asked, now)
     decided = await _decide_at_home(state, asked, now)
     state.shards_used[asked.request] = (asked.shard, now)
     place = decided.remote
@@ -72,7 +72,7 @@
 ) -> placement_query.Decision:
     own = state.settings.instance
     order = order_of(state, asked.shard)
-    if state.settled.is_set() and members.is_owner(
+    if state.peers_synced.is_set() and members.is_owner(
         order,
         state.members,
         own,
@@ -80,7 +80,7 @@
         owners=1,
         listening_since=state.listening_since,
     ):
-        return assign.decide(state, asked, now)
+        return local_placement.decide(state, asked, now)
     for owner in members.owners_to_query(order, state.members, own, now)[
         :_MOST_ASKED
     ]:
@@ -89,7 +89,7 @@
             return told
     now = asyncio.get_running_loop().time()
     logs.event("placed_alone", request=asked.request, shard=_name(asked.shard))
-    return assign.decide(state, asked, now, alone=True)
+    return local_placement.decide(state, asked, now, alone=True)
 
 
 def order_of(state: IngressState, shard: shards.Shard) -> list[str]:
@@ -108,10 +108,10 @@
 ) -> placement_query.Decision | None:
     """Asks one owner; None if it does not answer in time."""
     loop = asyncio.get_running_loop()
-    number = next(state.question_numbers)
+    number = next(state.query_ids)
     waiting = loop.create_future()
-    state.questions[number] = waiting
-    message = datagrams.Question(
+    state.pending_queries[number] = waiting
+    message = datagrams.PlacementRequest(
         asker=state.settings.instance,
         datagrams=state.datagrams,
         sequence=state.sequence,
@@ -123,12 +123,12 @@
     state.send(datagrams.encode(message), address)
     try:
         async with asyncio.timeout(LONG_PATIENCE_S if long else PATIENCE_S):
-            told = datagrams.from_answer(await waiting)
+            told = datagrams.read_reply(await waiting)
     except TimeoutError:
         _note_silent(state, owner, asked, loop.time() - begun)
         return None
     finally:
-        del state.questions[number]
+        del state.pending_queries[number]
     state.metrics.questions.labels("answered").inc()
     return told
 
@@ -152,21 +152,21 @@
     )
 
 
-def take_answer(state: IngressState, told: datagrams.Answer) -> None:
+def take_answer(state: IngressState, told: datagrams.PlacementReply) -> None:
     """Hands an answer to whoever waits for it; late ones find nobody."""
     owner = state.members.get(told.owner)
     if owner is not None:
         members.record_received(owner, asyncio.get_running_loop().time())
-    waiting = state.questions.get(told.number)
+    waiting = state.pending_queries.get(told.number)
     if waiting is not None and not waiting.done():
         waiting.set_result(told)
 
 
-def answer(state: IngressState, question: datagrams.Question) -> None:
+def answer(state: IngressState, question: datagrams.PlacementRequest) -> None:
     """Places a request for a peer, and counts it until the peer tells of it."""
     now = asyncio.get_running_loop().time()
     asked = question.query
-    decided = assign.decide(state, asked, now)
+    decided = local_placement.decide(state, asked, now)
     if isinstance(decided.choice, plans.Plan):
         work = placement_query.planned_work(asked, decided.choice, now)
         inflight_table.add_pending(
@@ -177,5 +177,5 @@
             work,
             now,
         )
-    reply = datagrams.to_answer(question.number, decided)
+    reply = datagrams.make_reply(question.number, decided)
     state.send(datagrams.encode(reply), question.datagrams)
--- a/copperloom/ingress/audience.py
+++ b/copperloom/ingress/recipients.py
@@ -4,7 +4,7 @@
 
 from copperloom import logs
 from copperloom.decisions import members, registry, shards
-from copperloom.ingress import owners
+from copperloom.ingress import placement_rpc
 from copperloom.ingress.state import IngressState, Member, is_large_fleet
 
 __all__ = [
@@ -67,7 +67,7 @@
     """
     if not is_large_fleet(state):
         return list(state.members.values())
-    order = owners.order_of(state, _home(state))
+    order = placement_rpc.order_of(state, _home(state))
     own = state.settings.instance
     if own in order[: 2 * shards.OWNERS]:
         return neighbours(state)
@@ -122,7 +122,7 @@
 def _owners(
     state: IngressState, shard: shards.Shard, now: float
 ) -> list[Member]:
-    order = owners.order_of(state, shard)
+    order = placement_rpc.order_of(state, shard)
     return members.owners_to_notify(
         order, state.members, state.settings.instance, now
     )
@@ -130,7 +130,7 @@
 
 def owns_home(state: IngressState, now: float) -> bool:
     """Tells whether this instance owns the shards of its data centre."""
-    order = owners.order_of(state, _home(state))
+    order = placement_rpc.order_of(state, _home(state))
     own = state.settings.instance
     return members.is_owner(
         order, state.members, own, now, listening_since=state.listening_since
--- a/copperloom/ingress/roster.py
+++ b/copperloom/ingress/registration.py
@@ -12,7 +12,7 @@
 
 from copperloom import exception, logs
 from copperloom.decisions import members, shards
-from copperloom.ingress import audience, gossip, introductions
+from copperloom.ingress import announcements, gossip, recipients
 from copperloom.ingress.state import (
     IngressState,
     fleet_size,
@@ -51,8 +51,8 @@
         try:
             if _wants_rows(state):
                 await _read(state)
-            if not state.settled.is_set():
-                await gossip.greet(told)
+            if not state.peers_synced.is_set():
+                await gossip.announce_start(told)
             # Whether it owns anything is known once the others have answered.
             if not written and _needs_row(state):
                 await _write(state)
@@ -86,7 +86,7 @@
 
 def _needs_row(state: IngressState) -> bool:
     now = asyncio.get_running_loop().time()
-    return not is_large_fleet(state) or audience.owns_home(state, now)
+    return not is_large_fleet(state) or recipients.owns_home(state, now)
 
 
 def _pause_s(state: IngressState, lonely: int) -> float:
@@ -144,11 +144,13 @@
     for stored in feed.rows:
         row = catalog.decode_member(stored.value)
         if row is not None:
-            introductions.take(state, row, now)
-            state.fleet = max(state.fleet, row.fleet)
+            announcements.add_member(state, row, now)
+            state.reported_fleet_size = max(
+                state.reported_fleet_size, row.fleet
+            )
     if len(state.members) > known:
         # Of two that start at once, the one that finds the other speaks first.
-        state.news.set()
+        state.digest_due.set()
 
 
 async def _ask_seeds(told: gossip.Gossip) -> None:
@@ -163,8 +165,8 @@
             await peer_catalog.fetch(state, address)
         except exception.PeerUnavailableError as error:
             logs.event("peer_unavailable", peer=address, error=str(error))
-    if state.members and not state.settled.is_set():
-        await gossip.greet(told)
+    if state.members and not state.peers_synced.is_set():
+        await gossip.announce_start(told)
 
 
 async def leave(state: IngressState) -> None:
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -6,7 +6,7 @@
 
 from copperloom import exception, logs
 from copperloom.decisions import decode_rate, health, inflight_table, timeouts
-from copperloom.ingress import events, exchange, repeat, sender
+from copperloom.ingress import events, exchange, retry, sender
 from copperloom.platform import headers
 
 __all__ = ["first_event_patience", "relay"]
@@ -105,7 +105,7 @@
     ex.slow = True
     known = ex.state.health.setdefault(ex.plan.lead, health.Health())
     health.record_failure(known, now, health.SLOW)
-    ex.state.news.set()
+    ex.state.digest_due.set()
     logs.event(
         "target_slow",
         request=ex.id,
@@ -145,7 +145,7 @@
         async with asyncio.timeout(patience_s):
             return await content.readany()
     except TimeoutError as error:
-        if repeat.may_give_up(ex):
+        if retry.may_give_up(ex):
             raise exception.StreamBrokenError("stands still") from error
     return await content.readany()
 
--- a/copperloom/ingress/server.py
+++ b/copperloom/ingress/server.py
@@ -45,7 +45,7 @@
 
     An instance that knows no routes or no targets could only refuse.
     """
-    return state.informed.is_set() and not state.draining
+    return state.routing_known.is_set() and not state.draining
 
 
 async def listen(
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -50,21 +50,21 @@
         targets_packed: All registrations packed for peers, and their version.
         targets_at: Monotonic time of their last change.
         target_rows: Their registrations as the platform keeps them.
-        lost_tables: Tables that the platform does not give at present.
-        look_now: Set when the tables should be read without waiting.
+        unreachable_tables: Tables that the platform does not give at present.
+        read_tables_now: Set when the tables should be read without waiting.
         inflight: Work in progress at the targets.
-        news: Set when peers should hear of a change at once.
+        digest_due: Set when peers should hear of a change at once.
         sequence: Number of the last digest sent.
         datagrams: IP:port of the datagram socket, once it is open.
         send: Sends a datagram to an IP:port.
-        questions: Futures of questions to owners, by number.
-        question_numbers: Source of those numbers.
+        pending_queries: Futures of questions to owners, by number.
+        query_ids: Source of those numbers.
         shards_used: The shard that each request was placed on last, and when.
         listening_since: Monotonic time at which this instance began to listen.
-        fleet: Most instances that any peer, or a row of the platform's table,
-            has told of.
-        settled: Set once those that know of others' work have been greeted,
-            and had the time to answer.
+        reported_fleet_size: Most instances that any peer, or a row of the
+            platform's table, has told of.
+        peers_synced: Set once those that know of others' work have been
+            greeted, and had the time to answer.
         budget: The budget of repeats.
         health: Failures of targets of late that were seen here, by name.
         peer_health: Those that peers have told of.
@@ -77,7 +77,7 @@
         metrics: Counters and histograms.
         rng: Source of draws and jitter.
         background: Tasks that outlive their request.
-        informed: Set once routes and targets are known.
+        routing_known: Set once routes and targets are known.
         hold_until: Monotonic time until which requests that come sooner are
             held.
         draining: Whether this instance is stopping.
@@ -101,19 +101,19 @@
         self.targets_packed = (0, b"")
         self.targets_at = float("-inf")
         self.target_rows = rowlog.RowLog()
-        self.lost_tables: set[str] = set()
-        self.look_now = asyncio.Event()
+        self.unreachable_tables: set[str] = set()
+        self.read_tables_now = asyncio.Event()
         self.inflight = inflight_table.InflightTable()
-        self.news = asyncio.Event()
+        self.digest_due = asyncio.Event()
         self.sequence = 0
         self.datagrams = ""
         self.send: Callable[[bytes, str], None] = _discard
-        self.questions: dict[int, asyncio.Future] = {}
-        self.question_numbers = itertools.count(1)
+        self.pending_queries: dict[int, asyncio.Future] = {}
+        self.query_ids = itertools.count(1)
         self.shards_used: dict[str, tuple[shards.Shard, float]] = {}
         self.listening_since = float("-inf")
-        self.fleet = 0
-        self.settled = asyncio.Event()
+        self.reported_fleet_size = 0
+        self.peers_synced = asyncio.Event()
         self.budget = budget.Budget(budget_policy(own))
         self.health: dict[str, health.Health] = {}
         self.peer_health: dict[str, health.Health] = {}
@@ -125,7 +125,7 @@
         self.metrics = metrics.IngressMetrics()
         self.rng = random.Random(f"{own.instance}.{self.boot}")
         self.background: set[asyncio.Task] = set()
-        self.informed = asyncio.Event()
+        self.routing_known = asyncio.Event()
         self.hold_until = float("-inf")
         self.draining = False
         self.drain_until = math.inf
@@ -149,7 +149,7 @@
 
 def fleet_size(state: IngressState) -> int:
     """Returns how many instances there are, as far as is known here."""
-    return max(len(state.members) + 1, state.fleet)
+    return max(len(state.members) + 1, state.reported_fleet_size)
 
 
 def is_large_fleet(state: IngressState) -> bool:
--- a/copperloom/ingress/follow.py
+++ b/copperloom/ingress/table_watch.py
@@ -10,7 +10,7 @@
 
 from copperloom import exception, logs
 from copperloom.decisions import registry, rowlog
-from copperloom.ingress import adopt, readers
+from copperloom.ingress import updates, watchers
 from copperloom.ingress.state import (
     IngressState,
     fleet_size,
@@ -19,8 +19,8 @@
 from copperloom.platform import catalog, store
 
 __all__ = [
-    "follow_routes",
-    "follow_targets",
+    "watch_routes",
+    "watch_targets",
 ]
 
 # Readers' feeds end and begin anew at different times, so that one that the
@@ -55,12 +55,12 @@
 _FIRST_MEETING_S = 5.0
 
 
-async def follow_routes(state: IngressState) -> None:
+async def watch_routes(state: IngressState) -> None:
     """Follows the operators' document for ever."""
     await _follow(state, catalog.ROUTES_TABLE, _take_routes)
 
 
-async def follow_targets(state: IngressState) -> None:
+async def watch_targets(state: IngressState) -> None:
     """Follows the registrations of targets for ever."""
     await _follow(state, catalog.TARGETS_TABLE, _take_targets)
 
@@ -69,7 +69,7 @@
     version: int | None = None
     failures = 0
     await _leave_to_peers(state)
-    is_due = not state.informed.is_set()
+    is_due = not state.routing_known.is_set()
     while True:
         try:
             wait_s = 0.0 if is_due else await _turn(state)
@@ -86,7 +86,7 @@
             if failures:
                 logs.event("store_regained", table=table, version=version)
             failures = 0
-            state.lost_tables.discard(table)
+            state.unreachable_tables.discard(table)
         except exception.HistoryGoneError:
             logs.event("store_history_gone", table=table, version=version)
             version = None
@@ -94,7 +94,7 @@
         except exception.CopperloomError as error:
             failures += 1
             _lost(state, table, error, failures)
-            is_due = not state.informed.is_set()
+            is_due = not state.routing_known.is_set()
             await asyncio.sleep(_backoff(state, failures))
 
 
@@ -107,17 +107,17 @@
     first = state.settings.is_first_start
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(_FIRST_MEETING_S if first else _MEETING_S):
-            await state.settled.wait()
+            await state.peers_synced.wait()
     loop = asyncio.get_running_loop()
     if not is_large_fleet(state):
         return
-    if readers.is_reader(state, loop.time()):
+    if watchers.is_watcher(state, loop.time()):
         return
     wait_s = FIRST_FROM_PEERS_S if first else FROM_PEERS_S
     drawn_s = min(_MOST_DRAWN_S, _DRAWN_S * fleet_size(state))
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(wait_s + state.rng.uniform(0.0, drawn_s)):
-            await state.informed.wait()
+            await state.routing_known.wait()
 
 
 async def _turn(state: IngressState) -> float:
@@ -131,7 +131,7 @@
     fleet = max(1.0, (len(state.members) + 1) / LOOK_AGAIN_FLEET)
     look_at = loop.time() + LOOK_AGAIN_S * fleet * jitter
     while loop.time() < look_at:
-        if readers.is_reader(state, loop.time()):
+        if watchers.is_watcher(state, loop.time()):
             return FEED_WAIT_S * jitter
         if await _is_called(state):
             break
@@ -142,11 +142,11 @@
     """Waits a moment; tells whether the tables should be read at once."""
     try:
         async with asyncio.timeout(_ROLE_POLL_S):
-            await state.look_now.wait()
+            await state.read_tables_now.wait()
     except TimeoutError:
         return False
     # Both tables' loops wait for it, and each should look once.
-    asyncio.get_running_loop().call_soon(state.look_now.clear)
+    asyncio.get_running_loop().call_soon(state.read_tables_now.clear)
     return True
 
 
@@ -158,7 +158,7 @@
 def _lost(state, table: str, error, failures: int) -> None:
     registry.record_outage(state.targets, asyncio.get_running_loop().time())
     state.metrics.store_failures.labels(table).inc()
-    state.lost_tables.add(table)
+    state.unreachable_tables.add(table)
     if failures == 1:
         logs.event("store_lost", table=table, code=error.code, error=str(error))
 
@@ -166,7 +166,7 @@
 def _take_routes(state: IngressState, feed: store.Feed, *, whole: bool) -> None:
     row = catalog.routes_row(feed)
     if row is not None:
-        adopt.adopt_routes(state, row.value, "store")
+        updates.apply_routes(state, row.value, "store")
 
 
 def _take_targets(
@@ -181,4 +181,4 @@
     newest = max((row.version for row in feed.rows), default=0)
     newest = max(newest, state.targets.version)
     rows = [rowlog.Row(r.key, r.version, r.value) for r in feed.rows]
-    adopt.adopt_targets(state, rows, newest, whole=whole, source="store")
+    updates.apply_targets(state, rows, newest, whole=whole, source="store")
--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from copperloom.ingress import readers, server
+from copperloom.ingress import server, watchers
 from copperloom.ingress.tests import fixtures
 
 
@@ -185,7 +185,7 @@
         await asyncio.sleep(0.7)
         now = asyncio.get_running_loop().time()
         entries = [f.entry for f in system.fronts]
-        late = [e for e in entries if not readers.is_reader(e, now)]
+        late = [e for e in entries if not watchers.is_watcher(e, now)]
         for service in system.fronts:
             service.calls.close()
         system.store.put("op", "config", fixtures.routes(6))
@@ -267,10 +267,10 @@
         self.assertLessEqual(calls, 9 * 8)
         await asyncio.sleep(1.0)
         waiting = sum(
-            readers.is_reader(f.entry, asyncio.get_running_loop().time())
+            watchers.is_watcher(f.entry, asyncio.get_running_loop().time())
             for f in system.fronts
         )
-        self.assertEqual(waiting, readers.READERS)
+        self.assertEqual(waiting, watchers.WATCHERS)
 
     async def test_others_take_over_from_readers_that_are_turned_away(self):
         """The table turns all instances away that follow it.
@@ -282,8 +282,8 @@
         await asyncio.sleep(0.7)
         now = asyncio.get_running_loop().time()
         entries = [f.entry for f in system.fronts]
-        reading = [e for e in entries if readers.is_reader(e, now)]
-        self.assertEqual(len(reading), readers.READERS)
+        reading = [e for e in entries if watchers.is_watcher(e, now)]
+        self.assertEqual(len(reading), watchers.WATCHERS)
         for entry in reading:
             entry.store.address = "127.0.0.1:9"
         system.store.forget_history()
--- a/copperloom/ingress/tests/test_fleet_start.py
+++ b/copperloom/ingress/tests/test_fleet_start.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from copperloom.ingress import follow
+from copperloom.ingress import table_watch
 from copperloom.ingress.tests import fixtures
 from copperloom.platform import catalog, settings
 
@@ -84,8 +84,8 @@
     def setUp(self):
         # All instances share one loop, so each step takes as much longer.
         for constant in ("FROM_PEERS_S", "_DRAWN_S"):
-            slower = getattr(follow, constant) * _SLOWER
-            patch = mock.patch.object(follow, constant, slower)
+            slower = getattr(table_watch, constant) * _SLOWER
+            patch = mock.patch.object(table_watch, constant, slower)
             patch.start()
             self.addCleanup(patch.stop)
 
--- a/copperloom/ingress/tests/test_gossip.py
+++ b/copperloom/ingress/tests/test_gossip.py
@@ -69,7 +69,7 @@
         inflight_table.end(self.entry.inflight, "q1")
         await self._turns()
         self.assertEqual(self.transport.sent, [])
-        await asyncio.sleep(gossip.LESSER_S + _BESIDE_S)
+        await asyncio.sleep(gossip.MINOR_CHANGE_DELAY_S + _BESIDE_S)
         self.assertEqual(len(self.transport.sent), 1)
 
     async def test_nothing_is_told_without_a_change(self):
--- a/copperloom/ingress/tests/test_catchup.py
+++ b/copperloom/ingress/tests/test_peer_fetch.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from copperloom.decisions import health
-from copperloom.ingress import catchup, datagrams, gossip
+from copperloom.ingress import datagrams, gossip, peer_fetch
 from copperloom.ingress.state import IngressState, Member
 from copperloom.ingress.tests import fixtures
 from copperloom.peers import catalog
@@ -41,18 +41,18 @@
             return catalog.Fetched(had_room=True)
 
         with mock.patch.object(catalog, "fetch", fetch):
-            await catchup._catch_up(state)
+            await peer_fetch._catch_up(state)
         self.assertEqual(state.table.version, 4)
-        self.assertFalse(state.look_now.is_set())
+        self.assertFalse(state.read_tables_now.is_set())
 
     async def test_member_that_gives_nothing_is_not_asked_for_ever(self):
         state = _state()
         _member(state, 2)
         fetch = mock.AsyncMock(return_value=catalog.Fetched(had_room=True))
         with mock.patch.object(catalog, "fetch", fetch):
-            await catchup._catch_up(state)
+            await peer_fetch._catch_up(state)
         self.assertEqual(fetch.await_count, 1)
-        self.assertTrue(state.look_now.is_set())
+        self.assertTrue(state.read_tables_now.is_set())
 
 
 class LateDatagramTest(unittest.IsolatedAsyncioTestCase):
@@ -75,7 +75,7 @@
 
 def _digest(sequence: int, penalties: dict[str, float]) -> datagrams.Digest:
     return datagrams.Digest(
-        sender=datagrams.Introduction("front-2", "127.0.0.1:9", "", "a", 1.0),
+        sender=datagrams.Announcement("front-2", "127.0.0.1:9", "", "a", 1.0),
         boot="b",
         sequence=sequence,
         routes_version=0,
--- a/copperloom/ingress/tests/test_owners.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from copperloom.decisions import inflight, inflight_table, members, shards
-from copperloom.ingress import gossip, owners, server
+from copperloom.ingress import gossip, placement_rpc, server
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins import target as target_standin
 
@@ -28,7 +28,7 @@
     await fixtures.until(
         lambda: all(
             server.is_ready(f.entry)
-            and f.entry.settled.is_set()
+            and f.entry.peers_synced.is_set()
             and len(f.entry.members) == _FRONTS - 1
             for f in system.fronts
         ),
@@ -44,7 +44,9 @@
 def _hears_owners(entry) -> bool:
     now = asyncio.get_running_loop().time()
     own = entry.settings
-    order = owners.order_of(entry, shards.Shard("engines", own.data_centre))
+    order = placement_rpc.order_of(
+        entry, shards.Shard("engines", own.data_centre)
+    )
     return all(
         members.is_live(entry.members[name], now)
         for name in order[: shards.OWNERS]
@@ -54,7 +56,7 @@
 
 def _order(system: fixtures.System) -> list[str]:
     entry = system.fronts[0].entry
-    return owners.order_of(entry, shards.Shard("engines", "a"))
+    return placement_rpc.order_of(entry, shards.Shard("engines", "a"))
 
 
 def _number(system: fixtures.System, name: str) -> int:
@@ -89,7 +91,7 @@
         # All instances of the test share one loop, so owners answer late, and
         # askers tell late that they have sent what was placed for them.
         with (
-            mock.patch.object(owners, "PATIENCE_S", 2.0),
+            mock.patch.object(placement_rpc, "PATIENCE_S", 2.0),
             mock.patch.object(inflight_table, "PENDING_S", 5.0),
         ):
             answers = await asyncio.gather(*asking)
@@ -141,7 +143,7 @@
             gossip.Gossip, "send", lambda self, data, to: sent.append(to)
         ):
             for service in system.fronts:
-                gossip.tell(service.gossip, now)
+                gossip.send_digest(service.gossip, now)
         self.assertLessEqual(len(sent), _FRONTS * shards.OWNERS)
         self.assertLessEqual(len(set(sent)), shards.OWNERS)
 
@@ -262,7 +264,7 @@
         self.addCleanup(near.stop)
         system = await _start_fleet(self, ("a", "b"), engines=4)
         entry = system.fronts[0].entry
-        order = owners.order_of(entry, shards.Shard("engines"))
+        order = placement_rpc.order_of(entry, shards.Shard("engines"))
         first = entry.members.get(order[0], entry.settings)
         asker = next(
             n
--- a/copperloom/ingress/tests/test_readers.py
+++ b/copperloom/ingress/tests/test_watchers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from copperloom.ingress import readers
+from copperloom.ingress import watchers
 from copperloom.ingress.state import IngressState
 from copperloom.ingress.tests import fixtures
 
@@ -14,5 +14,5 @@
         It took its data centre for empty and never read the tables.
         """
         state = IngressState(fixtures.own_settings("127.0.0.1", "127.0.0.1:9"))
-        state.fleet = 100
-        self.assertTrue(readers.is_reader(state, 0.0))
+        state.reported_fleet_size = 100
+        self.assertTrue(watchers.is_watcher(state, 0.0))
--- a/copperloom/ingress/adopt.py
+++ b/copperloom/ingress/updates.py
@@ -10,13 +10,13 @@
 from copperloom.ingress.state import IngressState
 from copperloom.platform import decoding
 
-__all__ = ["adopt_routes", "adopt_targets"]
+__all__ = ["apply_routes", "apply_targets"]
 
 # Changes that come together are logged one by one up to so many.
 _MOST_LOGGED = 100
 
 
-def adopt_routes(state: IngressState, raw: bytes, source: str) -> bool:
+def apply_routes(state: IngressState, raw: bytes, source: str) -> bool:
     """Takes over an operators' document if it is newer than what is known.
 
     Only a higher version is taken: what comes late, from the platform or a
@@ -49,7 +49,7 @@
     return True
 
 
-def adopt_targets(
+def apply_targets(
     state: IngressState,
     rows: list[rowlog.Row],
     version: int,
@@ -96,8 +96,8 @@
 
 def _note_change(state: IngressState) -> None:
     if state.table.version and state.targets.entries:
-        state.informed.set()
-    state.news.set()
+        state.routing_known.set()
+    state.digest_due.set()
     state.changed.set()
 
 
--- a/copperloom/ingress/views.py
+++ b/copperloom/ingress/views.py
@@ -38,7 +38,7 @@
             "age_s": _age(now, state.targets_at),
             "by_service": _by_service(state, now),
         },
-        "lost_tables": sorted(state.lost_tables),
+        "lost_tables": sorted(state.unreachable_tables),
         "repeats_left": {
             service: budget.left(state.budget, service, now, sharing)
             for service in state.budget.requests
--- a/copperloom/ingress/readers.py
+++ b/copperloom/ingress/watchers.py
@@ -5,15 +5,15 @@
 from copperloom.decisions import members, shards
 from copperloom.ingress.state import IngressState, is_large_fleet
 
-__all__ = ["is_reader"]
+__all__ = ["is_watcher"]
 
 # So many instances follow the tables; the others hear of changes from them, and
 # each call is paid for. A table that turns a third of the instances away hardly
 # ever turns all of them away.
-READERS = 5
+WATCHERS = 5
 
 
-def is_reader(state: IngressState, now: float) -> bool:
+def is_watcher(state: IngressState, now: float) -> bool:
     """Tells whether this instance is among those that follow the tables.
 
     The order is the same at all instances. Whoever says that the platform does
@@ -21,14 +21,14 @@
     large fleet they are owners in each data centre, whom all others there hear.
     """
     shard = shards.Shard("")
-    readers = READERS
+    readers = WATCHERS
     if is_large_fleet(state):
         if _owners_lost(state, now) >= shards.OWNERS:
             return False
         shard = shards.Shard("", state.settings.data_centre)
         data_centres = {m.data_centre for m in state.members.values()}
         data_centres.add(state.settings.data_centre)
-        readers = min(shards.OWNERS, math.ceil(READERS / len(data_centres)))
+        readers = min(shards.OWNERS, math.ceil(WATCHERS / len(data_centres)))
     reachable = {
         name: m for name, m in state.members.items() if not m.table_unreachable
     }
--- a/copperloom/peers/catalog.py
+++ b/copperloom/peers/catalog.py
@@ -16,7 +16,7 @@
 
 from copperloom import logs
 from copperloom.decisions import fetch_policy, rowlog
-from copperloom.ingress import adopt, introductions
+from copperloom.ingress import announcements, updates
 from copperloom.ingress.state import IngressState
 from copperloom.peers import client, peers_grpc, peers_pb2
 from copperloom.platform import catalog
@@ -181,7 +181,7 @@
     except zlib.error as error:
         logs.event("peer_unreadable", peer=address, error=str(error))
         return
-    if adopt.adopt_routes(state, raw, address):
+    if updates.apply_routes(state, raw, address):
         state.routes_packed = packed
 
 
@@ -193,7 +193,7 @@
     except (zlib.error, msgspec.MsgspecError) as error:
         logs.event("peer_unreadable", peer=address, error=str(error))
         return
-    adopt.adopt_targets(
+    updates.apply_targets(
         state,
         told.rows,
         reply.targets_version,
@@ -210,4 +210,4 @@
         return
     now = asyncio.get_running_loop().time()
     for row in rows:
-        introductions.take(state, row, now)
+        announcements.add_member(state, row, now)
