--- a/copperloom/decisions/admission.py
+++ b/copperloom/decisions/admission.py
@@ -50,7 +50,7 @@
     ahead = fairqueue.tokens_ahead(pool.short, req)
     if ahead <= 0.0:
         return 0.0
-    rate = pool_module.throughput(pool.short_stay)
+    rate = pool_module.throughput(pool.short_residence)
     if rate <= 0.0:
         return ahead * pool.pace.quick_s / max(1, len(pool.targets))
     return ahead / rate
@@ -62,7 +62,7 @@
     0 while nothing has been seen: a guess would refuse work for which an idle
     engine has all the time that it needs.
     """
-    stay = pool.long_stay if long else pool.short_stay
+    stay = pool.long_residence if long else pool.short_residence
     if stay.samples == 0:
         return 0.0
     if long:
--- a/copperloom/decisions/flights.py
+++ b/copperloom/decisions/flights.py
@@ -34,7 +34,7 @@
     prompts = (max(0, tokens[0] - req.max_tokens), *tokens[1:])
     for (tgt, part), prompt in zip(chosen, prompts, strict=True):
         load.add(tgt, prompt, part, long=long)
-    pool_module.stay(pool, long=long).in_flight += item.cost
+    pool_module.residence(pool, long=long).in_flight += item.cost
     made = messages.Placement(
         req,
         tuple(tgt.name for tgt, _ in chosen),
@@ -71,7 +71,7 @@
             _observe(sched, flight, now, seconds)
         ejection.succeeded(tgt, now)
     retries.earn(sched.budget)
-    stay = pool_module.stay(flight.pool, long=flight.long)
+    stay = pool_module.residence(flight.pool, long=flight.long)
     pool_module.learn(stay, flight.cost, seconds)
 
 
@@ -92,7 +92,7 @@
         return
     if flight.waiting:
         _started(sched, flight)
-    stay = pool_module.stay(flight.pool, long=flight.long)
+    stay = pool_module.residence(flight.pool, long=flight.long)
     stay.in_flight -= flight.cost
     made = flight.placement
     for name, held in zip(made.targets, made.tokens, strict=True):
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -5,11 +5,11 @@
 from copperloom import configuration, messages
 from copperloom.decisions import (
     affinity,
-    border,
     concurrency,
     ejection,
     groups,
     load,
+    pool_split,
 )
 from copperloom.decisions import pool as pool_module
 
@@ -75,7 +75,11 @@
     """
     need = req.prompt_tokens + req.max_tokens
     later = ANSWER_WEIGHT[objective] * req.max_tokens
-    penalty = LONG_STEP_TOKENS * (1.0 + later) * border.likely(pool.border)
+    penalty = (
+        LONG_STEP_TOKENS
+        * (1.0 + later)
+        * pool_split.long_work_probability(pool.split)
+    )
 
     def usable(tgt):
         return tgt.name not in avoid and _has_room(tgt, need, now)
@@ -83,7 +87,7 @@
     def cost(tgt):
         return _cost(pool, tgt, req, now, penalty)
 
-    apart = border.likely(pool.border) >= LIKELY_LEAST
+    apart = pool_split.long_work_probability(pool.split) >= LIKELY_LEAST
     part = pool.short_part if apart else pool.targets
     ring = pool.short_ring if apart else pool.ring
     candidates = _sample(part, rng, SAMPLES)
--- a/copperloom/decisions/pool.py
+++ b/copperloom/decisions/pool.py
@@ -3,7 +3,13 @@
 import dataclasses
 
 from copperloom import configuration
-from copperloom.decisions import affinity, border, concurrency, fairqueue, load
+from copperloom.decisions import (
+    affinity,
+    concurrency,
+    fairqueue,
+    load,
+    pool_split,
+)
 
 __all__ = [
     "Pool",
@@ -11,9 +17,9 @@
     "capacity",
     "divide",
     "learn",
-    "look",
+    "update_split",
     "set_targets",
-    "stay",
+    "residence",
     "throughput",
 ]
 
@@ -54,13 +60,13 @@
         most_long: Most targets that may take long work.
         ring: Homes of prefixes among all targets.
         short_ring: Homes of prefixes among `short_part`.
-        border: Where the parts meet.
+        split: Where the parts meet.
         short: Queue of short work.
         long: Queue of long work.
         pace: First-token times of short work.
         long_pace: First-token times of long work.
-        short_stay: Time at the target of short work.
-        long_stay: Time at the target of long work.
+        short_residence: Time at the target of short work.
+        long_residence: Time at the target of long work.
         most_kv_tokens: KV memory of the largest engine.
         group_tokens: Most KV tokens that a group of engines can give.
         engine_tokens: Most KV tokens that one engine gives to long work.
@@ -76,13 +82,13 @@
         self.most_long = 0
         self.ring = affinity.make([])
         self.short_ring = affinity.make([])
-        self.border = border.Border()
+        self.split = pool_split.PoolSplit()
         self.short = fairqueue.FairQueue(fair=fair)
         self.long = fairqueue.FairQueue(fair=fair)
         self.pace = concurrency.Pace()
         self.long_pace = concurrency.Pace()
-        self.short_stay = Residence()
-        self.long_stay = Residence()
+        self.short_residence = Residence()
+        self.long_residence = Residence()
         self.most_kv_tokens = 0
         self.group_tokens = 0
         self.engine_tokens = 0
@@ -111,9 +117,13 @@
         group_most: Most engines in a group.
     """
     count = len(pool.targets)
-    most = border.most_long(count, preset.short_floor) if split else count
+    most = (
+        pool_split.max_long_targets(count, preset.short_floor)
+        if split
+        else count
+    )
     pool.most_long = most
-    size = min(pool.border.size, most) if split else count
+    size = min(pool.split.size, most) if split else count
     pool.long_part = pool.targets[:size]
     guarded = pool.targets[: min(size + 1, most)]
     pool.long_names = frozenset(t.name for t in guarded)
@@ -125,13 +135,13 @@
     pool.group_tokens = sum(sorted(kv, reverse=True)[:group_most])
 
 
-def look(pool: Pool, preset: configuration.Preset, now: float) -> bool:
+def update_split(pool: Pool, preset: configuration.Preset, now: float) -> bool:
     """Looks at the long part's use and moves the border; True if it moved."""
-    size = pool.border.size
+    size = pool.split.size
     count = len(pool.targets)
-    most = border.most_long(count, preset.short_floor)
-    border.move(pool.border, count, most, _use(pool, preset, now), now)
-    return pool.border.size != size
+    most = pool_split.max_long_targets(count, preset.short_floor)
+    pool_split.adjust(pool.split, count, most, _use(pool, preset, now), now)
+    return pool.split.size != size
 
 
 def _use(pool: Pool, preset: configuration.Preset, now: float) -> float:
@@ -144,9 +154,9 @@
     return min(1.0, held / room) if room else 0.0
 
 
-def stay(pool: Pool, *, long: bool) -> Residence:
+def residence(pool: Pool, *, long: bool) -> Residence:
     """Returns the time at the target of one class of work."""
-    return pool.long_stay if long else pool.short_stay
+    return pool.long_residence if long else pool.short_residence
 
 
 def capacity(tgt: load.TargetLoad, preset: configuration.Preset) -> int:
@@ -154,22 +164,22 @@
     return int(tgt.kv_tokens * preset.long_share)
 
 
-def learn(stay: Residence, cost: int, seconds: float) -> None:
+def learn(residence: Residence, cost: int, seconds: float) -> None:
     """Learns from work that finished."""
-    stay.samples += 1
-    gain = max(RESIDENCE_GAIN, 1.0 / stay.samples)
-    stay.cost += gain * (cost - stay.cost)
-    stay.cost_seconds += gain * (cost * seconds - stay.cost_seconds)
-    stay.seconds += gain * (seconds - stay.seconds)
+    residence.samples += 1
+    gain = max(RESIDENCE_GAIN, 1.0 / residence.samples)
+    residence.cost += gain * (cost - residence.cost)
+    residence.cost_seconds += gain * (cost * seconds - residence.cost_seconds)
+    residence.seconds += gain * (seconds - residence.seconds)
 
 
-def throughput(stay: Residence) -> float:
+def throughput(residence: Residence) -> float:
     """Returns the tokens a second that leave, by Little's law; 0 if unknown.
 
     Little's law needs no measuring interval: work in flight over its time in
     flight, both weighted by tokens, so it follows a change of load at once.
     """
-    if stay.samples == 0 or stay.cost_seconds <= 0.0:
+    if residence.samples == 0 or residence.cost_seconds <= 0.0:
         return 0.0
-    weighted_s = stay.cost_seconds / max(stay.cost, 1e-9)
-    return stay.in_flight / weighted_s
+    weighted_s = residence.cost_seconds / max(residence.cost, 1e-9)
+    return residence.in_flight / weighted_s
--- a/copperloom/decisions/border.py
+++ b/copperloom/decisions/pool_split.py
@@ -10,9 +10,16 @@
 
 import xxhash
 
-__all__ = ["Border", "is_due", "likely", "most_long", "move", "rank"]
-
-LOOK_INTERVAL_S = 1.0
+__all__ = [
+    "PoolSplit",
+    "is_due",
+    "long_work_probability",
+    "max_long_targets",
+    "adjust",
+    "rank",
+]
+
+ADJUST_INTERVAL_S = 1.0
 # Use is averaged over some seconds, about one long prompt's time.
 USE_HALF_LIFE_S = 10.0
 # At most one step in this time, of a twentieth of the pool. The part shrinks
@@ -28,23 +35,23 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Border:
+class PoolSplit:
     """Where the border stands, and the use that moves it.
 
     Attributes:
         size: Targets, from the start of the order, that take long work; -1
             before the first look.
-        moved_at: When it last moved.
+        changed_at: When it last moved.
         use: Averaged share of the long part's memory in use.
         peak: The same, following a rise at once.
-        looked_at: When the use was last looked at.
+        measured_at: When the use was last looked at.
     """
 
     size: int = -1
-    moved_at: float = float("-inf")
+    changed_at: float = float("-inf")
     use: float = 0.0
     peak: float = 0.0
-    looked_at: float = float("-inf")
+    measured_at: float = float("-inf")
 
 
 def rank(target: str) -> int:
@@ -52,7 +59,7 @@
     return xxhash.xxh64_intdigest(target.encode())
 
 
-def most_long(targets: int, short_floor: float) -> int:
+def max_long_targets(targets: int, short_floor: float) -> int:
     """Returns how many targets may take long work at most.
 
     The floor is rounded up in favour of short work, but a pool of one engine
@@ -61,22 +68,22 @@
     return max(1, targets - math.ceil(targets * short_floor))
 
 
-def is_due(border: Border, now: float) -> bool:
+def is_due(split: PoolSplit, now: float) -> bool:
     """Tells whether it is time to look at the use again."""
-    return now - border.looked_at >= LOOK_INTERVAL_S
+    return now - split.measured_at >= ADJUST_INTERVAL_S
 
 
-def likely(border: Border) -> float:
+def long_work_probability(split: PoolSplit) -> float:
     """Returns how likely long work is in its part, from 0 to 1.
 
     Without long work its part is as good for short work as the other; waiting
     for the border to move there, step by step, would leave engines idle.
     """
-    return min(1.0, border.peak / SHRINK_USE)
+    return min(1.0, split.peak / SHRINK_USE)
 
 
-def move(
-    border: Border, targets: int, most: int, use: float, now: float
+def adjust(
+    split: PoolSplit, targets: int, most: int, use: float, now: float
 ) -> None:
     """Moves the border a step towards the measured demand.
 
@@ -90,28 +97,28 @@
     only drains, but one that joins it holds up the short answers there.
 
     Args:
-        border: The border.
+        split: The border.
         targets: Targets in the pool.
         most: Most targets that may take long work.
         use: Share of the long part's memory in use now; 1 if long work waits.
         now: Monotonic seconds.
     """
-    if border.size < 0:
-        border.size = most
-        border.moved_at = now
-        border.looked_at = now
-    age = min(now - border.looked_at, USE_HALF_LIFE_S)
+    if split.size < 0:
+        split.size = most
+        split.changed_at = now
+        split.measured_at = now
+    age = min(now - split.measured_at, USE_HALF_LIFE_S)
     faded = 0.5 ** (age / USE_HALF_LIFE_S)
-    border.use += (use - border.use) * (1.0 - faded)
-    border.peak = max(use, border.peak * faded)
-    border.looked_at = now
-    border.size = min(border.size, most)
+    split.use += (use - split.use) * (1.0 - faded)
+    split.peak = max(use, split.peak * faded)
+    split.measured_at = now
+    split.size = min(split.size, most)
     step = max(1, int(targets * STEP_SHARE))
-    since_s = now - border.moved_at
-    if border.use > GROW_USE and since_s >= GROW_INTERVAL_S:
-        border.size = min(most, border.size + step)
-    elif border.use < SHRINK_USE and since_s >= SHRINK_INTERVAL_S:
-        border.size = max(1, border.size - step)
+    since_s = now - split.changed_at
+    if split.use > GROW_USE and since_s >= GROW_INTERVAL_S:
+        split.size = min(most, split.size + step)
+    elif split.use < SHRINK_USE and since_s >= SHRINK_INTERVAL_S:
+        split.size = max(1, split.size - step)
     else:
         return
-    border.moved_at = now
+    split.changed_at = now
--- a/copperloom/decisions/state.py
+++ b/copperloom/decisions/state.py
@@ -4,7 +4,14 @@
 import random
 
 from copperloom import configuration, messages
-from copperloom.decisions import border, groups, limits, load, policies, retries
+from copperloom.decisions import (
+    groups,
+    limits,
+    load,
+    policies,
+    pool_split,
+    retries,
+)
 from copperloom.decisions import pool as pool_module
 
 __all__ = [
@@ -127,15 +134,15 @@
 def refresh(sched: Scheduler, now: float) -> None:
     """Adopts targets and preset in all pools."""
     for pool in sched.pools.values():
-        pool_module.look(pool, sched.cfg.preset, now)
+        pool_module.update_split(pool, sched.cfg.preset, now)
         _divide(sched, pool)
 
 
 def refresh_pool(sched: Scheduler, pool: pool_module.Pool, now: float) -> None:
     """Moves the border of a pool if that is due."""
-    if not border.is_due(pool.border, now):
+    if not pool_split.is_due(pool.split, now):
         return
-    if pool_module.look(pool, sched.cfg.preset, now):
+    if pool_module.update_split(pool, sched.cfg.preset, now):
         _divide(sched, pool)
 
 
@@ -156,7 +163,7 @@
 def _known(sched: Scheduler, target: configuration.Target) -> load.TargetLoad:
     tgt = sched.targets.get(target.name)
     if tgt is None:
-        tgt = load.TargetLoad(target.name, rank=border.rank(target.name))
+        tgt = load.TargetLoad(target.name, rank=pool_split.rank(target.name))
         if not sched.uses("concurrency"):
             tgt.limit = float("inf")
     engine = target.kind is configuration.TargetKind.ENGINE
--- a/copperloom/decisions/tests/test_border.py
+++ b/copperloom/decisions/tests/test_pool_split.py
@@ -2,24 +2,24 @@
 
 import unittest
 
-from copperloom.decisions import border
+from copperloom.decisions import pool_split
 
 
 def play(uses, *, targets=20, most=12, step_s=1.0):
     """Returns the border's sizes after each look."""
-    state = border.Border()
+    state = pool_split.PoolSplit()
     sizes = []
     for number, use in enumerate(uses):
-        border.move(state, targets, most, use, number * step_s)
+        pool_split.adjust(state, targets, most, use, number * step_s)
         sizes.append(state.size)
     return sizes
 
 
 class BorderTest(unittest.TestCase):
     def test_floor_is_rounded_up_for_short_work(self):
-        self.assertEqual(border.most_long(15, 0.4), 9)
-        self.assertEqual(border.most_long(3, 0.4), 1)
-        self.assertEqual(border.most_long(1, 0.4), 1)
+        self.assertEqual(pool_split.max_long_targets(15, 0.4), 9)
+        self.assertEqual(pool_split.max_long_targets(3, 0.4), 1)
+        self.assertEqual(pool_split.max_long_targets(1, 0.4), 1)
 
     def test_shrinks_slowly_and_grows_faster(self):
         sizes = play([0.0] * 600 + [1.0] * 100)
@@ -34,8 +34,8 @@
         self.assertEqual(len(set(sizes[60:])), 1)
 
     def test_never_more_than_the_floor_leaves(self):
-        state = border.Border()
+        state = pool_split.PoolSplit()
         for number in range(100):
             most = 12 if number < 50 else 4
-            border.move(state, 20, most, 1.0, number * 10.0)
+            pool_split.adjust(state, 20, most, 1.0, number * 10.0)
             self.assertLessEqual(state.size, most)
