--- a/copperloom/controllers/config.py
+++ b/copperloom/controllers/config.py
@@ -6,7 +6,7 @@
 
 from copperloom import configuration, exception
 from copperloom.controllers import changes, leaving, snapshot
-from copperloom.decisions import freshness, scheduler
+from copperloom.decisions import config_staleness, scheduler
 from copperloom.logs import event
 
 __all__ = [
@@ -129,7 +129,7 @@
     return cfg
 
 
-def evidence(state, now: float) -> freshness.Evidence:
+def evidence(state, now: float) -> config_staleness.Evidence:
     """Gathers what the rule of freshness looks at."""
     heard_since = now - state.settings.membership.suspect_s
     members = state.members.values()
@@ -137,7 +137,7 @@
     # A restarted entry knows few members at first and would take two for a
     # majority; those in contact tell how many they know.
     known = max([len(members) + 1, *(m.known_members for m in contacts)])
-    return freshness.Evidence(
+    return config_staleness.Evidence(
         loaded=state.cfg_loaded,
         version=state.cfg.version,
         confirmed_at=state.confirmed_at,
@@ -166,7 +166,7 @@
     confirm_s = state.settings.membership.confirm_s
     if state.cfg_loaded and now - state.confirmed_at <= confirm_s:
         return
-    reason = freshness.why_not_admit(
+    reason = config_staleness.refusal_reason(
         evidence(state, now), now, confirm_s=confirm_s
     )
     if reason is not None:
--- a/copperloom/controllers/fetch.py
+++ b/copperloom/controllers/fetch.py
@@ -11,7 +11,7 @@
 
 from copperloom import configuration, exception
 from copperloom.controllers import config, snapshot
-from copperloom.decisions import freshness
+from copperloom.decisions import config_staleness
 from copperloom.logs import event
 from copperloom.peers import client, peers_pb2
 
@@ -53,7 +53,7 @@
     """
     heard_since = now - state.settings.membership.suspect_s
     facts = config.evidence(state, now)
-    whole = freshness.has_majority(facts.contacts, facts.members)
+    whole = config_staleness.has_majority(facts.contacts, facts.members)
     if not state.cfg_loaded and not whole:
         return
     members = [m for m in state.members.values() if not m.failures]
--- a/copperloom/controllers/leaving.py
+++ b/copperloom/controllers/leaving.py
@@ -1,6 +1,6 @@
 """Targets that leave get no new work."""
 
-from copperloom.decisions import departures, scheduler
+from copperloom.decisions import scheduler, target_drain
 from copperloom.logs import event
 
 __all__ = ["mark", "note_list", "refresh", "step"]
@@ -13,10 +13,10 @@
 
 def mark(state, target: str, version: int, now: float) -> None:
     """Takes in a peer's sign that a target leaves."""
-    known = state.departures.marks.get(target, -1)
+    known = state.target_drain.marks.get(target, -1)
     if version <= known:
         return
-    departures.mark(state.departures, target, version)
+    target_drain.mark_draining(state.target_drain, target, version)
     refresh(state, now)
 
 
@@ -36,19 +36,19 @@
     Called at once for every sign, since work is placed between steps. The
     loads controller notes a target's own word in state.leaving_targets.
     """
-    dep = state.departures
+    dep = state.target_drain
     for name, at in list(state.leaving_targets.items()):
-        if departures.settled(dep, name, at, now):
+        if target_drain.is_superseded(dep, name, at, now):
             del state.leaving_targets[name]
     own_word = frozenset(state.leaving_targets)
     seen = own_word | state.membership.listed_leaving
-    departures.see(dep, seen, state.cfg, now)
-    departures.prune(dep, state.cfg)
-    names = departures.leaving(dep, state.cfg)
+    target_drain.observe(dep, seen, state.cfg, now)
+    target_drain.prune(dep, state.cfg)
+    names = target_drain.draining_targets(dep, state.cfg)
     if names == state.sched.leaving:
         return
     gone = sorted(names - state.sched.leaving)
     back = sorted(state.sched.leaving - names)
     event("leaving", targets=",".join(gone), admitted=",".join(back))
-    scheduler.set_leaving(state.sched, names, now)
+    scheduler.set_draining(state.sched, names, now)
     state.wake.set()
--- a/copperloom/daemons/admin.py
+++ b/copperloom/daemons/admin.py
@@ -12,7 +12,7 @@
 
 from copperloom import exception
 from copperloom.controllers import changes, config, contacts, member, snapshot
-from copperloom.decisions import freshness
+from copperloom.decisions import config_staleness
 from copperloom.logs import event
 
 __all__ = ["InForce", "require_majority", "routes", "wait_in_force"]
@@ -159,7 +159,7 @@
     if _in_majority(state):
         return
     facts = config.evidence(state, time.monotonic())
-    if not freshness.knows_the_fleet(facts):
+    if not config_staleness.has_fleet_view(facts):
         raise exception.StaleConfigurationError("it does not know others yet")
     raise exception.StaleConfigurationError(
         f"in contact with {facts.contacts} of {facts.members} members: "
@@ -168,7 +168,9 @@
 
 
 def _in_majority(state) -> bool:
-    return freshness.in_majority(config.evidence(state, time.monotonic()))
+    return config_staleness.in_majority(
+        config.evidence(state, time.monotonic())
+    )
 
 
 async def wait_in_force(state, version: int, wait_s: float) -> InForce:
@@ -194,7 +196,7 @@
         version=version,
         in_force=count - len(behind),
         members=count,
-        majority=freshness.has_majority(count - len(behind), count),
+        majority=config_staleness.has_majority(count - len(behind), count),
         behind=tuple(sorted(behind)),
         waited_s=round(now - begun, 3),
     )
@@ -230,7 +232,7 @@
             "confirmed_age_s": _age(now, state.confirmed_at),
             "contacts": facts.contacts,
             "known_members": facts.members,
-            "knows_the_fleet": freshness.knows_the_fleet(facts),
+            "knows_the_fleet": config_staleness.has_fleet_view(facts),
             "draining": state.draining,
             "active": state.active,
             "leaving_targets": sorted(state.sched.leaving),
--- a/copperloom/daemons/state.py
+++ b/copperloom/daemons/state.py
@@ -17,7 +17,7 @@
     sweep,
 )
 from copperloom.daemons import metrics, options
-from copperloom.decisions import departures, reservation, scheduler
+from copperloom.decisions import reservation, scheduler, target_drain
 from copperloom.platform.interface import Platform
 from copperloom.targets.interface import LoadReport, Targets
 
@@ -44,7 +44,7 @@
         members: Peers by instance name, kept by the members controller.
         membership: What the members controller keeps besides.
         peers_address: IP:port where this entry listens for peers.
-        departures: Signs that targets leave.
+        target_drain: Signs that targets leave.
         book: Reservations at the targets that this entry owns.
         held: Placements in flight with reservations, by request id.
         releases: Reservations to give back, request ids by target.
@@ -90,7 +90,7 @@
         self.members: dict[str, member.Member] = {}
         self.membership = member.Membership(seed=self.owner)
         self.peers_address = ""
-        self.departures = departures.Departures()
+        self.target_drain = target_drain.DrainState()
         self.book = reservation.Book()
         self.held: dict[str, messages.Placement] = {}
         self.releases: dict[str, set[str]] = {}
--- a/copperloom/decisions/freshness.py
+++ b/copperloom/decisions/config_staleness.py
@@ -10,8 +10,8 @@
     "Evidence",
     "has_majority",
     "in_majority",
-    "knows_the_fleet",
-    "why_not_admit",
+    "has_fleet_view",
+    "refusal_reason",
 ]
 
 
@@ -45,7 +45,7 @@
     return 2 * contacts > members
 
 
-def knows_the_fleet(evidence: Evidence) -> bool:
+def has_fleet_view(evidence: Evidence) -> bool:
     """Returns whether a majority of the members known means anything.
 
     An entry that has just started knows nobody and would take itself for the
@@ -56,12 +56,12 @@
 
 def in_majority(evidence: Evidence) -> bool:
     """Returns whether the entry is in contact with more than half of all."""
-    if not knows_the_fleet(evidence):
+    if not has_fleet_view(evidence):
         return False
     return has_majority(evidence.contacts, evidence.members)
 
 
-def why_not_admit(
+def refusal_reason(
     evidence: Evidence, now: float, *, confirm_s: float
 ) -> str | None:
     """Decides whether new work may be admitted.
@@ -90,7 +90,7 @@
         return (
             f"version {evidence.told_version} is in force and not fetched yet"
         )
-    if not knows_the_fleet(evidence):
+    if not has_fleet_view(evidence):
         return "in contact with nobody and not named in any list of instances"
     if in_majority(evidence):
         return None
--- a/copperloom/decisions/flights.py
+++ b/copperloom/decisions/inflight_requests.py
@@ -11,14 +11,20 @@
 )
 from copperloom.decisions import pool as pool_module
 
-__all__ = ["ended", "first_token", "land", "place", "succeed"]
+__all__ = [
+    "record_residence",
+    "record_first_token",
+    "remove",
+    "add",
+    "record_success",
+]
 
 # Priorities at the engine.
 SHORT_PRIORITY = 10
 LONG_PRIORITY = 0
 
 
-def place(
+def add(
     sched: state.Scheduler,
     pool: pool_module.Pool,
     item: fairqueue.Item,
@@ -42,14 +48,17 @@
         _priority(sched, req),
         long=long and sched.uses("reservations"),
     )
-    sched.flights[req.id] = state.Flight(
+    sched.inflight[req.id] = state.InflightRequest(
         made, pool, prompts, item.cost, long, now
     )
     return made
 
 
-def first_token(
-    sched: state.Scheduler, flight: state.Flight, now: float, seconds: float
+def record_first_token(
+    sched: state.Scheduler,
+    flight: state.InflightRequest,
+    now: float,
+    seconds: float,
 ) -> None:
     """Takes the prompt off the prefill, and learns from its time."""
     _started(sched, flight)
@@ -62,7 +71,9 @@
             sched.targets[name].denials = 0
 
 
-def succeed(sched: state.Scheduler, flight: state.Flight, now: float) -> None:
+def record_success(
+    sched: state.Scheduler, flight: state.InflightRequest, now: float
+) -> None:
     """Learns from work that finished well."""
     seconds = now - flight.placed_at
     tgt = sched.targets.get(flight.placement.targets[0])
@@ -75,7 +86,9 @@
     pool_module.learn(stay, flight.cost, seconds)
 
 
-def ended(sched: state.Scheduler, flight: state.Flight, now: float) -> None:
+def record_residence(
+    sched: state.Scheduler, flight: state.InflightRequest, now: float
+) -> None:
     """Learns from how long work stayed at its target, however it ended."""
     req = flight.placement.request
     tgt = sched.targets.get(flight.placement.targets[0])
@@ -85,9 +98,9 @@
     concurrency.ended(tgt, stay_s, req.deadline - req.arrived, now)
 
 
-def land(sched: state.Scheduler, request_id: str) -> None:
+def remove(sched: state.Scheduler, request_id: str) -> None:
     """Counts work that is over, however it ended; safe to repeat."""
-    flight = sched.flights.pop(request_id, None)
+    flight = sched.inflight.pop(request_id, None)
     if flight is None:
         return
     if flight.waiting:
@@ -107,7 +120,7 @@
     return LONG_PRIORITY
 
 
-def _started(sched: state.Scheduler, flight: state.Flight) -> None:
+def _started(sched: state.Scheduler, flight: state.InflightRequest) -> None:
     flight.waiting = False
     names = flight.placement.targets
     for name, prompt in zip(names, flight.prompts, strict=True):
@@ -116,7 +129,10 @@
 
 
 def _observe(
-    sched: state.Scheduler, flight: state.Flight, now: float, seconds: float
+    sched: state.Scheduler,
+    flight: state.InflightRequest,
+    now: float,
+    seconds: float,
 ) -> None:
     pool = flight.pool
     tgt = sched.targets.get(flight.placement.targets[0])
--- a/copperloom/decisions/queueing.py
+++ b/copperloom/decisions/queueing.py
@@ -4,8 +4,8 @@
 from copperloom.decisions import (
     admission,
     fairqueue,
-    flights,
     groups,
+    inflight_requests,
     load,
     placement,
     state,
@@ -82,7 +82,9 @@
         if not chosen:
             return
         fairqueue.pop(pool.short, item)
-        out.append(flights.place(sched, pool, item, chosen, now, long=False))
+        out.append(
+            inflight_requests.add(sched, pool, item, chosen, now, long=False)
+        )
 
 
 def dispatch_long(
@@ -111,7 +113,9 @@
         )
         if chosen:
             fairqueue.pop(pool.long, item)
-            out.append(flights.place(sched, pool, item, chosen, now, long=True))
+            out.append(
+                inflight_requests.add(sched, pool, item, chosen, now, long=True)
+            )
             continue
         skipped += 1
         if not held and now - item.queued_at > PASS_S:
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -11,7 +11,7 @@
     admission,
     ejection,
     fairqueue,
-    flights,
+    inflight_requests,
     limits,
     load,
     queueing,
@@ -35,7 +35,7 @@
     "report",
     "requeue",
     "set_configuration",
-    "set_leaving",
+    "set_draining",
     "set_limit_shares",
     "set_peer_loads",
     "target_failed",
@@ -61,7 +61,7 @@
     state.refresh(sched, now)
 
 
-def set_leaving(sched: Scheduler, leaving: frozenset[str], now: float) -> None:
+def set_draining(sched: Scheduler, leaving: frozenset[str], now: float) -> None:
     """Names the targets that get no new work, queued work included."""
     if leaving != sched.leaving:
         sched.leaving = leaving
@@ -173,8 +173,8 @@
         too short).
     """
     req = placement.request
-    flight = sched.flights.get(req.id)
-    flights.land(sched, req.id)
+    flight = sched.inflight.get(req.id)
+    inflight_requests.remove(sched, req.id)
     pool = state.pool_of(sched, req)
     if pool is None:
         return _no_target(sched, req)
@@ -204,22 +204,22 @@
     sched: Scheduler, placement: messages.Placement, now: float, *, sent: float
 ) -> None:
     """Notes that the first token came; `sent` is when the work was sent."""
-    flight = sched.flights.get(placement.request.id)
+    flight = sched.inflight.get(placement.request.id)
     if flight is not None and flight.waiting:
-        flights.first_token(sched, flight, now, now - sent)
+        inflight_requests.record_first_token(sched, flight, now, now - sent)
 
 
 def finished(
     sched: Scheduler, placement: messages.Placement, now: float, *, ok: bool
 ) -> None:
     """Notes that a placement is over and its memory free."""
-    flight = sched.flights.get(placement.request.id)
+    flight = sched.inflight.get(placement.request.id)
     if flight is None:
         return
-    flights.ended(sched, flight, now)
+    inflight_requests.record_residence(sched, flight, now)
     if ok:
-        flights.succeed(sched, flight, now)
-    flights.land(sched, placement.request.id)
+        inflight_requests.record_success(sched, flight, now)
+    inflight_requests.remove(sched, placement.request.id)
     sched.avoid.pop(placement.request.id, None)
 
 
--- a/copperloom/decisions/state.py
+++ b/copperloom/decisions/state.py
@@ -15,7 +15,7 @@
 from copperloom.decisions import pool as pool_module
 
 __all__ = [
-    "Flight",
+    "InflightRequest",
     "Scheduler",
     "is_long",
     "pool_of",
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
+class InflightRequest:
     """Work in flight.
 
     Attributes:
@@ -60,7 +60,7 @@
         leaving: Targets that get no new work.
         targets: Load by target name.
         pools: By kind and model (or service) name.
-        flights: Work in flight by request id.
+        inflight: Work in flight by request id.
         avoid: Targets that failed a request, by request id.
         limits: Organisations' limits.
         budget: Retry budget.
@@ -80,7 +80,7 @@
         self.leaving: frozenset[str] = frozenset()
         self.targets: dict[str, load.TargetLoad] = {}
         self.pools: dict[PoolKey, pool_module.Pool] = {}
-        self.flights: dict[str, Flight] = {}
+        self.inflight: dict[str, InflightRequest] = {}
         self.avoid: dict[str, frozenset[str]] = {}
         self.limits = limits.Limits()
         self.budget = retries.Budget()
--- a/copperloom/decisions/departures.py
+++ b/copperloom/decisions/target_drain.py
@@ -11,7 +11,15 @@
 
 from copperloom import configuration
 
-__all__ = ["Departures", "leaving", "mark", "marks", "prune", "see", "settled"]
+__all__ = [
+    "DrainState",
+    "draining_targets",
+    "mark_draining",
+    "drain_marks",
+    "prune",
+    "observe",
+    "is_superseded",
+]
 
 # Longer than the platform's list and an engine's load report lag. Within this
 # time after an admission their signs may be older than the admission.
@@ -24,7 +32,7 @@
     at: float
 
 
-class Departures:
+class DrainState:
     """What one entry knows of leaving targets.
 
     Attributes:
@@ -41,13 +49,13 @@
         self.admissions: dict[str, _Admission] = {}
 
 
-def mark(dep: Departures, target: str, version: int) -> None:
+def mark_draining(dep: DrainState, target: str, version: int) -> None:
     """Takes in a sign that was learnt under a version, such as a peer's."""
     dep.marks[target] = max(version, dep.marks.get(target, 0))
 
 
-def see(
-    dep: Departures,
+def observe(
+    dep: DrainState,
     names: frozenset[str],
     cfg: configuration.Configuration,
     now: float,
@@ -65,11 +73,11 @@
     for name in names:
         admission = dep.admissions.get(name)
         if admission is None or now - admission.at > LAG_S:
-            mark(dep, name, cfg.version)
+            mark_draining(dep, name, cfg.version)
 
 
-def leaving(
-    dep: Departures, cfg: configuration.Configuration
+def draining_targets(
+    dep: DrainState, cfg: configuration.Configuration
 ) -> frozenset[str]:
     """Returns the targets that get no new work.
 
@@ -81,10 +89,12 @@
         for tgt in cfg.targets.values()
         if tgt.state is configuration.TargetState.RETIRED
     }
-    return frozenset(retired) | dep.seen | frozenset(marks(dep, cfg))
+    return frozenset(retired) | dep.seen | frozenset(drain_marks(dep, cfg))
 
 
-def marks(dep: Departures, cfg: configuration.Configuration) -> dict[str, int]:
+def drain_marks(
+    dep: DrainState, cfg: configuration.Configuration
+) -> dict[str, int]:
     """Returns the marks that no later admission ended."""
     return {
         name: version
@@ -93,7 +103,7 @@
     }
 
 
-def settled(dep: Departures, target: str, at: float, now: float) -> bool:
+def is_superseded(dep: DrainState, target: str, at: float, now: float) -> bool:
     """Returns whether a sign of some time is overtaken by an admission.
 
     A sign that came within the lag after an admission may be older than it;
@@ -105,11 +115,11 @@
     return at <= admission.at + LAG_S < now
 
 
-def prune(dep: Departures, cfg: configuration.Configuration) -> None:
+def prune(dep: DrainState, cfg: configuration.Configuration) -> None:
     """Forgets marks that are over, so that they don't gather for ever."""
     dep.marks = {
         name: version
-        for name, version in marks(dep, cfg).items()
+        for name, version in drain_marks(dep, cfg).items()
         if name in cfg.targets or version >= cfg.version
     }
     for name in dep.admissions.keys() - cfg.targets.keys():
--- a/copperloom/decisions/tests/test_freshness.py
+++ b/copperloom/decisions/tests/test_config_staleness.py
@@ -3,10 +3,10 @@
 import dataclasses
 import unittest
 
-from copperloom.decisions import freshness
+from copperloom.decisions import config_staleness
 
 _NOW = 100.0
-_ALONE = freshness.Evidence(
+_ALONE = config_staleness.Evidence(
     loaded=True,
     version=5,
     confirmed_at=_NOW - 20,
@@ -18,7 +18,7 @@
 
 def _refused(**changes) -> bool:
     evidence = dataclasses.replace(_ALONE, **changes)
-    reason = freshness.why_not_admit(evidence, _NOW, confirm_s=8.0)
+    reason = config_staleness.refusal_reason(evidence, _NOW, confirm_s=8.0)
     return reason is not None
 
 
--- a/copperloom/decisions/tests/test_invariants.py
+++ b/copperloom/decisions/tests/test_invariants.py
@@ -121,7 +121,7 @@
 
     def leave(self, number):
         self.leaving = frozenset(f"e{i}" for i in range(6) if number >> i & 1)
-        scheduler.set_leaving(self.sched, self.leaving, self.now)
+        scheduler.set_draining(self.sched, self.leaving, self.now)
 
     def wait(self, number):
         self.now += number / 1_000
@@ -150,7 +150,7 @@
         self.assertEqual(model.queued, {})
         self.assertIsNone(scheduler.next_wake(model.sched, model.now))
         self.assertEqual(scheduler.backlog(model.sched), {})
-        self.assertEqual(model.sched.flights, {})
+        self.assertEqual(model.sched.inflight, {})
         self.assertEqual(model.sched.avoid, {})
         for tgt in model.sched.targets.values():
             counts = (tgt.streams, tgt.prefill_tokens, tgt.held_tokens)
--- a/copperloom/decisions/tests/test_departures.py
+++ b/copperloom/decisions/tests/test_target_drain.py
@@ -3,7 +3,7 @@
 import unittest
 
 from copperloom import configuration
-from copperloom.decisions import departures
+from copperloom.decisions import target_drain
 
 _NONE = frozenset()
 _T = frozenset(["t"])
@@ -21,11 +21,11 @@
 
 class DeparturesTest(unittest.TestCase):
     def setUp(self):
-        self.dep = departures.Departures()
+        self.dep = target_drain.DrainState()
 
     def see(self, names, cfg, now):
-        departures.see(self.dep, names, cfg, now)
-        return departures.leaving(self.dep, cfg)
+        target_drain.observe(self.dep, names, cfg, now)
+        return target_drain.draining_targets(self.dep, cfg)
 
     def test_retired_by_the_operators(self):
         self.assertEqual(self.see(_NONE, _cfg(2, state="retired"), 0.0), _T)
@@ -41,9 +41,9 @@
     def test_late_peer_can_not_bring_an_ended_departure_back(self):
         """A peer that missed the admission still tells of the departure."""
         self.see(_NONE, _cfg(2, admitted=2), 0.0)
-        departures.mark(self.dep, "t", 1)
+        target_drain.mark_draining(self.dep, "t", 1)
         self.assertEqual(self.see(_NONE, _cfg(2, admitted=2), 1.0), _NONE)
-        departures.mark(self.dep, "t", 2)
+        target_drain.mark_draining(self.dep, "t", 2)
         self.assertEqual(self.see(_NONE, _cfg(2, admitted=2), 1.0), _T)
 
     def test_old_view_right_after_an_admission_does_not_stay(self):
@@ -56,11 +56,11 @@
         admitted = _cfg(2, admitted=2)
         self.assertEqual(self.see(_T, admitted, 1.0), _T)
         self.assertEqual(self.see(_NONE, admitted, 2.0), _NONE)
-        late = 1.0 + departures.LAG_S + 0.1
+        late = 1.0 + target_drain.LAG_S + 0.1
         self.see(_T, admitted, late)
         self.assertEqual(self.see(_NONE, admitted, late + 1.0), _T)
 
     def test_ended_marks_are_forgotten(self):
         self.see(_T, _cfg(1), 0.0)
-        departures.prune(self.dep, _cfg(2, admitted=2))
+        target_drain.prune(self.dep, _cfg(2, admitted=2))
         self.assertEqual(self.dep.marks, {})
--- a/copperloom/filters/tests/test_schedule.py
+++ b/copperloom/filters/tests/test_schedule.py
@@ -84,6 +84,6 @@
 
     async def test_placed_work_does_not_go_to_a_target_that_left(self):
         config.confirm(self.entry, self.now)
-        scheduler.set_leaving(self.entry.sched, frozenset(["t"]), self.now)
+        scheduler.set_draining(self.entry.sched, frozenset(["t"]), self.now)
         with self.assertRaises(exception.TargetRefusedError):
             schedule.check_placement(self.exchange())
--- a/copperloom/peers/digest.py
+++ b/copperloom/peers/digest.py
@@ -1,6 +1,6 @@
 """The digest that entries exchange: what it holds and how it is read."""
 
-from copperloom.decisions import departures, scheduler
+from copperloom.decisions import scheduler, target_drain
 from copperloom.peers import peers_pb2
 
 __all__ = ["NEVER_MS", "add_peers", "confirmed_at", "make"]
@@ -77,7 +77,7 @@
 
 
 def _departures(state) -> list[peers_pb2.Departure]:
-    marks = departures.marks(state.departures, state.cfg)
+    marks = target_drain.drain_marks(state.target_drain, state.cfg)
     newest = sorted(marks.items(), key=lambda pair: -pair[1])
     return [
         peers_pb2.Departure(target=name, version=version)
