--- a/copperloom/decisions/admission.py
+++ b/copperloom/decisions/admission.py
@@ -52,7 +52,9 @@
         return 0.0
     rate = pool_module.throughput(pool.short_residence)
     if rate <= 0.0:
-        return ahead * pool.pace.quick_s / max(1, len(pool.targets))
+        return (
+            ahead * pool.first_token_stats.quick_s / max(1, len(pool.targets))
+        )
     return ahead / rate
 
 
@@ -155,7 +157,11 @@
     ahead = fairqueue.tokens_ahead(pool.long, req)
     ahead += sum(load.prefill_tokens(t, now) for t in pool.long_part)
     head = fairqueue.first(pool.long, 1)[0]
-    worked_off = ahead * pool.long_pace.quick_s / max(1, len(pool.long_part))
+    worked_off = (
+        ahead
+        * pool.long_first_token_stats.quick_s
+        / max(1, len(pool.long_part))
+    )
     return max(worked_off, now - head.queued_at)
 
 
--- a/copperloom/decisions/concurrency.py
+++ b/copperloom/decisions/concurrency.py
@@ -13,7 +13,7 @@
 
 from copperloom.decisions import load
 
-__all__ = ["Pace", "ended", "learn", "observe", "slowness"]
+__all__ = ["FirstTokenStats", "ended", "learn", "observe", "slowness"]
 
 # Fixed part of a first token's time, as prompt tokens.
 OVERHEAD_TOKENS = 500
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
+class FirstTokenStats:
     """First-token times of one pool, per prompt token.
 
     Attributes:
@@ -57,7 +57,7 @@
 
 
 def observe(
-    pace: Pace,
+    pace: FirstTokenStats,
     tgt: load.TargetLoad,
     prompt_tokens: int,
     first_token_s: float,
@@ -103,7 +103,7 @@
         _adapt(tgt, True, now)
 
 
-def slowness(pace: Pace, tgt: load.TargetLoad, now: float) -> float:
+def slowness(pace: FirstTokenStats, tgt: load.TargetLoad, now: float) -> float:
     """Returns the target's first-token time over its pool's, at least 0.5."""
     if tgt.ratio <= 0.0:
         return 1.0
@@ -112,7 +112,9 @@
     return max(0.5, 1.0 + excess * faded)
 
 
-def learn(pace: Pace, prompt_tokens: int, first_token_s: float) -> float:
+def learn(
+    pace: FirstTokenStats, prompt_tokens: int, first_token_s: float
+) -> float:
     """Learns from a first-token time; returns its seconds per token."""
     unit = max(first_token_s, 1e-6) / (prompt_tokens + OVERHEAD_TOKENS)
     pace.samples += 1
--- a/copperloom/decisions/inflight_requests.py
+++ b/copperloom/decisions/inflight_requests.py
@@ -65,7 +65,9 @@
     if not flight.long:
         _observe(sched, flight, now, seconds)
         return
-    concurrency.learn(flight.pool.long_pace, flight.prompts[0], seconds)
+    concurrency.learn(
+        flight.pool.long_first_token_stats, flight.prompts[0], seconds
+    )
     for name in flight.placement.targets:
         if name in sched.targets:
             sched.targets[name].denials = 0
@@ -139,7 +141,7 @@
     if tgt is None:
         return
     concurrency.observe(
-        pool.pace,
+        pool.first_token_stats,
         tgt,
         flight.prompts[0],
         seconds,
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -201,7 +201,7 @@
     """
     if pool.short_part is pool.targets:
         return False
-    step_s = LONG_STEP_TOKENS * pool.pace.quick_s
+    step_s = LONG_STEP_TOKENS * pool.first_token_stats.quick_s
     return req.max_tokens * step_s < req.deadline - now
 
 
@@ -249,14 +249,14 @@
         wait = load.wait_tokens(tgt, now, most_foreign=penalty) + penalty
     else:
         wait = load.wait_tokens(tgt, now)
-    return (wait + own) * concurrency.slowness(pool.pace, tgt, now)
+    return (wait + own) * concurrency.slowness(pool.first_token_stats, tgt, now)
 
 
 def _long_cost(pool, tgt, now):
     running = tgt.report.running if tgt.report else 0
     wait = load.wait_tokens(tgt, now, long=True)
     wait += HELD_UP_TOKENS * max(running, tgt.streams - tgt.long_streams)
-    return wait * concurrency.slowness(pool.pace, tgt, now)
+    return wait * concurrency.slowness(pool.first_token_stats, tgt, now)
 
 
 def _home(pool, ring, req, best, usable, cost):
--- a/copperloom/decisions/pool.py
+++ b/copperloom/decisions/pool.py
@@ -63,8 +63,8 @@
         split: Where the parts meet.
         short: Queue of short work.
         long: Queue of long work.
-        pace: First-token times of short work.
-        long_pace: First-token times of long work.
+        first_token_stats: First-token times of short work.
+        long_first_token_stats: First-token times of long work.
         short_residence: Time at the target of short work.
         long_residence: Time at the target of long work.
         most_kv_tokens: KV memory of the largest engine.
@@ -85,8 +85,8 @@
         self.split = pool_split.PoolSplit()
         self.short = fairqueue.FairQueue(fair=fair)
         self.long = fairqueue.FairQueue(fair=fair)
-        self.pace = concurrency.Pace()
-        self.long_pace = concurrency.Pace()
+        self.first_token_stats = concurrency.FirstTokenStats()
+        self.long_first_token_stats = concurrency.FirstTokenStats()
         self.short_residence = Residence()
         self.long_residence = Residence()
         self.most_kv_tokens = 0
