--- a/copperloom/controllers/config.py
+++ b/copperloom/controllers/config.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from copperloom import configuration, exception
-from copperloom.controllers import changes, leaving, snapshot
+from copperloom.controllers import changes, draining, snapshot
 from copperloom.decisions import config_staleness, scheduler
 from copperloom.logs import event
 
@@ -78,7 +78,7 @@
     state.cfg_loaded = True
     state.metrics.config_version.set(cfg.version)
     scheduler.set_configuration(state.sched, cfg, now)
-    leaving.refresh(state, now)
+    draining.refresh(state, now)
     state.wake.set()
     event(
         "configuration_adopted",
--- a/copperloom/controllers/fetch.py
+++ b/copperloom/controllers/config_fetch.py
@@ -15,7 +15,7 @@
 from copperloom.logs import event
 from copperloom.peers import client, peers_pb2
 
-__all__ = ["reply_to", "run", "wanted"]
+__all__ = ["reply_to", "run", "is_behind"]
 
 # Longer than a healthy read of head and changes takes, short against the 3 s
 # in which a retired target has to be known.
@@ -23,7 +23,7 @@
 _FETCH_S = 2.0
 
 
-def wanted(state) -> bool:
+def is_behind(state) -> bool:
     """Returns whether any member told of a newer version than the one held."""
     told = max((m.version for m in state.members.values()), default=0)
     return told > state.cfg.version
@@ -35,7 +35,7 @@
     poll = asyncio.ensure_future(config.step(state, loop.time()))
     try:
         await asyncio.wait([poll], timeout=_PLATFORM_FIRST_S)
-        if wanted(state):
+        if is_behind(state):
             await _from_peer(state, loop.time())
         await poll
     except exception.CopperloomError as error:
--- a/copperloom/controllers/contacts.py
+++ b/copperloom/controllers/digest_exchange.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 from copperloom import exception
-from copperloom.controllers import config, fetch, leaving, member
+from copperloom.controllers import config, config_fetch, draining, member
 from copperloom.logs import event
 from copperloom.peers import client, digest, peers_pb2
 
@@ -72,8 +72,8 @@
         demand=_demand_of(told),
     )
     _note_departures(state, told, now)
-    if fetch.wanted(state):
-        member.spawn(state, "fetch", fetch.run(state))
+    if config_fetch.is_behind(state):
+        member.spawn(state, "fetch", config_fetch.run(state))
 
 
 async def call(state, instance: str, method: str, message, *, timeout_s: float):
@@ -146,7 +146,7 @@
 
 def _note_departures(state, told, now: float) -> None:
     for departure in told.leaving_targets:
-        leaving.mark(state, departure.target, departure.version, now)
+        draining.mark(state, departure.target, departure.version, now)
 
 
 def _note_peers(state, reply, now: float) -> None:
--- a/copperloom/controllers/loads.py
+++ b/copperloom/controllers/load_polling.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from copperloom import configuration, exception, logs
-from copperloom.controllers import leaving
+from copperloom.controllers import draining
 from copperloom.daemons.state import EntryState
 from copperloom.decisions import scheduler
 
@@ -124,4 +124,4 @@
         state.leaving_targets[target] = now
     else:
         del state.leaving_targets[target]
-    leaving.refresh(state, now)
+    draining.refresh(state, now)
--- a/copperloom/controllers/members.py
+++ b/copperloom/controllers/membership.py
@@ -9,7 +9,12 @@
 import dataclasses
 
 from copperloom import exception
-from copperloom.controllers import contacts, fetch, leaving, member
+from copperloom.controllers import (
+    config_fetch,
+    digest_exchange,
+    draining,
+    member,
+)
 from copperloom.daemons import options
 from copperloom.decisions import limits, scheduler
 from copperloom.logs import event
@@ -49,13 +54,15 @@
         member.spawn(state, "list", _look(state, now))
     for peer in _choose(state, now):
         member.spawn(
-            state, f"ask {peer.instance}", contacts.ask(state, peer.instance)
+            state,
+            f"ask {peer.instance}",
+            digest_exchange.ask(state, peer.instance),
         )
     _forget(state, now)
     _set_loads(state, now)
-    leaving.refresh(state, now)
-    if fetch.wanted(state):
-        member.spawn(state, "fetch", fetch.run(state))
+    draining.refresh(state, now)
+    if config_fetch.is_behind(state):
+        member.spawn(state, "fetch", config_fetch.run(state))
 
 
 def exchanges_per_s(own: options.MembershipSection, entries: int) -> float:
@@ -112,7 +119,7 @@
         event("list_failed", code=error.code)
         return
     state.membership.listed_at = now
-    leaving.note_list(state, rows)
+    draining.note_list(state, rows)
     for row in rows:
         if row.kind == "entry" and row.name != own.instance:
             _note_row(state, row, now)
--- a/copperloom/controllers/orders.py
+++ b/copperloom/controllers/model_orders.py
@@ -10,10 +10,17 @@
 import dataclasses
 
 from copperloom import configuration, exception, logs
-from copperloom.controllers import leases, owners
+from copperloom.controllers import leases, reservation_owners
 from copperloom.targets import interface
 
-__all__ = ["Given", "Orders", "give", "interval_s", "missing", "step"]
+__all__ = [
+    "CompletedOrders",
+    "Orders",
+    "send_order",
+    "interval_s",
+    "missing_models",
+    "step",
+]
 
 _STEP_S = 1.0
 _ORDER_TIMEOUT_S = 60.0
@@ -24,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Given:
+class CompletedOrders:
     """Models that an engine obeyed to load.
 
     Attributes:
@@ -50,7 +57,7 @@
 
     def __init__(self):
         self.leases = leases.Leases()
-        self.given: dict[str, Given] = {}
+        self.given: dict[str, CompletedOrders] = {}
         self.not_before: dict[str, float] = {}
         self.busy: set[str] = set()
 
@@ -60,10 +67,10 @@
     return _STEP_S
 
 
-def missing(
+def missing_models(
     tgt: configuration.Target,
     report: interface.LoadReport,
-    given: Given | None,
+    given: CompletedOrders | None,
     now: float,
 ) -> list[str]:
     """Returns the models that an engine should load, in a fixed order.
@@ -88,8 +95,8 @@
         tgt = state.cfg.targets.get(name)
         if tgt is None or not _may_order(state, tgt, now):
             continue
-        wanted = missing(tgt, report, state.orders.given.get(name), now)
-        if wanted and owners.owner_of(state, name, now) == own:
+        wanted = missing_models(tgt, report, state.orders.given.get(name), now)
+        if wanted and reservation_owners.owner_of(state, name, now) == own:
             state.orders.busy.add(name)
             task = asyncio.create_task(_load(state, tgt, report, wanted[0]))
             state.background.add(task)
@@ -114,7 +121,7 @@
     loop = asyncio.get_running_loop()
     wait_s = 0.0
     try:
-        if await give(state, tgt, "load_model", model):
+        if await send_order(state, tgt, "load_model", model):
             _note(state, tgt.name, report.boot, model, loop.time())
         else:
             wait_s = _RETRY_S
@@ -134,10 +141,12 @@
     models = frozenset([model])
     if given is not None and given.boot == boot:
         models |= given.models
-    state.orders.given[target] = Given(boot, models, now)
+    state.orders.given[target] = CompletedOrders(boot, models, now)
 
 
-async def give(state, tgt: configuration.Target, kind: str, value: str) -> bool:
+async def send_order(
+    state, tgt: configuration.Target, kind: str, value: str
+) -> bool:
     """Gives one order under the target's lease.
 
     Args:
--- a/copperloom/controllers/records.py
+++ b/copperloom/controllers/records.py
@@ -16,11 +16,11 @@
 import xxhash
 
 from copperloom import exception, logs
-from copperloom.controllers import batch
+from copperloom.controllers import row_batch
 from copperloom.daemons.state import EntryState
 from copperloom.platform.interface import Row
 
-__all__ = ["Claim", "Phase", "Record", "claim", "settle"]
+__all__ = ["Claim", "Phase", "Record", "claim", "record_outcome"]
 
 _NONCE_BYTES = 12
 _RETRY_FIRST_S = 0.05
@@ -128,7 +128,7 @@
         ):
             # The insert may still land after we stopped waiting for it. Left
             # so, the key would look as if its work may have run, for good.
-            settle_later(state, mine, phase=Phase.NOT_RUN)
+            record_outcome_later(state, mine, phase=Phase.NOT_RUN)
         raise
 
 
@@ -137,7 +137,7 @@
     delay_s = _RETRY_FIRST_S
     while True:
         try:
-            found = await batch.put(
+            found = await row_batch.put(
                 state.batcher, mine.key, expected, _plain(mine.record)
             )
         except exception.PlatformUnknownError:
@@ -182,13 +182,15 @@
     )
 
 
-async def settle(state: EntryState, mine: Claim, **outcome) -> None:
+async def record_outcome(state: EntryState, mine: Claim, **outcome) -> None:
     """Writes the outcome; waits for it a short time only."""
-    task = settle_later(state, mine, **outcome)
+    task = record_outcome_later(state, mine, **outcome)
     await asyncio.wait([task], timeout=_SETTLE_WAIT_S)
 
 
-def settle_later(state: EntryState, mine: Claim, **outcome) -> asyncio.Task:
+def record_outcome_later(
+    state: EntryState, mine: Claim, **outcome
+) -> asyncio.Task:
     """Writes the outcome in the background, again until it is confirmed."""
     record = dataclasses.replace(mine.record, **outcome)
     task = asyncio.get_running_loop().create_task(_settle(state, mine, record))
@@ -207,7 +209,7 @@
     delay_s = _RETRY_FIRST_S
     for _ in range(_SETTLE_TRIES):
         try:
-            found = await batch.put(
+            found = await row_batch.put(
                 state.batcher, mine.key, version, _plain(record)
             )
         except exception.CopperloomError:
--- a/copperloom/controllers/owners.py
+++ b/copperloom/controllers/reservation_owners.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from copperloom import configuration, exception, messages
-from copperloom.controllers import contacts, member
+from copperloom.controllers import digest_exchange, member
 from copperloom.decisions import reservation
 from copperloom.logs import event
 from copperloom.peers import peers_pb2
@@ -207,7 +207,9 @@
     )
     if owner == state.settings.entry.instance:
         return grant(state, ask, now)
-    return await contacts.call(state, owner, "Reserve", ask, timeout_s=_CALL_S)
+    return await digest_exchange.call(
+        state, owner, "Reserve", ask, timeout_s=_CALL_S
+    )
 
 
 async def _renew(state, placement: messages.Placement) -> None:
@@ -268,4 +270,6 @@
             give_back(state, ask)
             continue
         with contextlib.suppress(exception.PeerUnavailableError):
-            await contacts.call(state, owner, "Release", ask, timeout_s=_CALL_S)
+            await digest_exchange.call(
+                state, owner, "Release", ask, timeout_s=_CALL_S
+            )
--- a/copperloom/controllers/sweep.py
+++ b/copperloom/controllers/sweep.py
@@ -16,7 +16,7 @@
 import time
 
 from copperloom import exception, logs
-from copperloom.controllers import batch, owners
+from copperloom.controllers import reservation_owners, row_batch
 from copperloom.platform.interface import Condition, Row, Write
 
 __all__ = ["Sweep", "step", "sweep_page"]
@@ -28,7 +28,7 @@
 _PAGE_ROWS = 200
 _HOLDER = "sweep/holder"
 # One row of each transaction is the holder's.
-_ROWS = batch.ROWS - 1
+_ROWS = row_batch.ROWS - 1
 
 
 @dataclasses.dataclass(slots=True)
@@ -56,7 +56,7 @@
             the page is read again by the next step.
     """
     own = state.settings.entry.instance
-    if owners.owner_of(state, _OWNED_NAME, now) != own:
+    if reservation_owners.owner_of(state, _OWNED_NAME, now) != own:
         state.sweep.holding = 0
         return
     oldest = time.time() - state.settings.limits.record_retention_s
--- a/copperloom/controllers/tests/engines.py
+++ b/copperloom/controllers/tests/engines.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from copperloom import configuration, messages
-from copperloom.controllers import owners
+from copperloom.controllers import reservation_owners
 from copperloom.daemons import options
 from copperloom.daemons.state import EntryState
 from copperloom.standins.tests import fixtures
@@ -66,7 +66,7 @@
         await asyncio.gather(*state.background, return_exceptions=True)
 
     case.addAsyncCleanup(stop)
-    await owners.step(state, asyncio.get_running_loop().time())
+    await reservation_owners.step(state, asyncio.get_running_loop().time())
     return state
 
 
--- a/copperloom/controllers/tests/fleet.py
+++ b/copperloom/controllers/tests/fleet.py
@@ -7,7 +7,7 @@
 import grpclib.client
 
 from copperloom import exception
-from copperloom.controllers import config, members, owners
+from copperloom.controllers import config, membership, reservation_owners
 from copperloom.controllers.tests import fixtures
 from copperloom.peers import server
 from copperloom.platform import http
@@ -81,8 +81,8 @@
         asyncio.create_task(_repeat(entry, step, every_s))
         for step, every_s in (
             (config.step, own.platform.head_poll_s),
-            (members.step, own.membership.exchange_s),
-            (owners.step, own.targets.reservation_s / 4),
+            (membership.step, own.membership.exchange_s),
+            (reservation_owners.step, own.targets.reservation_s / 4),
         )
     ]
     case.addAsyncCleanup(stop, entry)
--- a/copperloom/controllers/tests/test_members.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -6,7 +6,13 @@
 import unittest
 
 from copperloom import configuration, exception
-from copperloom.controllers import changes, config, contacts, member, members
+from copperloom.controllers import (
+    changes,
+    config,
+    digest_exchange,
+    member,
+    membership,
+)
 from copperloom.controllers.tests import fixtures, fleet
 from copperloom.daemons import admin
 from copperloom.decisions import limits, scheduler
@@ -215,7 +221,9 @@
 
     async def test_request_proves_no_contact_and_no_confirmation(self):
         """A paused entry wakes up and reads requests of a minute ago."""
-        contacts.note_request(self.entry, self.told(confirmed_age_ms=1), 100.0)
+        digest_exchange.note_request(
+            self.entry, self.told(confirmed_age_ms=1), 100.0
+        )
         self.assertEqual(self.entry.confirmed_at, float("-inf"))
         self.assertEqual(config.evidence(self.entry, 100.0).contacts, 1)
 
@@ -224,7 +232,7 @@
         self.assertEqual(digest.confirmed_at(reply, 100.0), 99.5)
 
     async def test_own_name_is_no_member(self):
-        contacts.note_request(self.entry, self.told(instance="a"), 1.0)
+        digest_exchange.note_request(self.entry, self.told(instance="a"), 1.0)
         self.assertEqual(self.entry.members, {})
 
     async def test_few_known_members_are_no_whole(self):
@@ -239,7 +247,7 @@
         names = [f"e{i}" for i in range(8)]
         for name in names:
             self.entry.members[name] = member.Member(name, "127.0.0.1:1", "dc")
-        self.addAsyncCleanup(members.close, self.entry)
+        self.addAsyncCleanup(membership.close, self.entry)
         now = time.monotonic()
         self.entry.confirmed_at = now
         self.assertEqual(await self.asked(now), 3)
@@ -253,14 +261,14 @@
             self.entry.members[name] = member.Member(
                 name, "127.0.0.1:1", f"dc{i % 18}"
             )
-        self.addAsyncCleanup(members.close, self.entry)
+        self.addAsyncCleanup(membership.close, self.entry)
         now = time.monotonic()
         self.entry.confirmed_at = now
         asked = [await self.asked(now + i / 1000) for i in range(20)]
         self.assertEqual(sum(asked), 10)
 
     async def asked(self, now):
-        await members.step(self.entry, now)
+        await membership.step(self.entry, now)
         names = [n for n in self.entry.membership.tasks if n.startswith("ask")]
         await asyncio.gather(*self.entry.membership.tasks.values())
         return len(names)
@@ -274,8 +282,8 @@
         limits.seconds_over(entry.sched.limits, org, 100, 0.0)
         here = scheduler.demand(entry.sched, 0.0)["org"]
         demand = [peers_pb2.Demand(organisation="org", tokens_per_s=3 * here)]
-        contacts.note_request(entry, self.told(demand=demand), 0.0)
+        digest_exchange.note_request(entry, self.told(demand=demand), 0.0)
         entry.membership.looked_at = 0.0
-        self.addAsyncCleanup(members.close, entry)
-        await members.step(entry, 0.0)
+        self.addAsyncCleanup(membership.close, entry)
+        await membership.step(entry, 0.0)
         self.assertAlmostEqual(entry.sched.limits.shares["org"], 0.25, 3)
--- a/copperloom/controllers/tests/test_orders.py
+++ b/copperloom/controllers/tests/test_model_orders.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from copperloom import exception
-from copperloom.controllers import leases, loads, orders
+from copperloom.controllers import leases, load_polling, model_orders
 from copperloom.controllers.tests import engines
 from copperloom.standins import control
 from copperloom.standins.tests import fixtures
@@ -45,7 +45,7 @@
         self.target = self.states[0].cfg.targets["g0"]
 
     async def _give(self, index: int, value: str) -> bool:
-        return await orders.give(
+        return await model_orders.send_order(
             self.states[index], self.target, "set_role", value
         )
 
@@ -155,7 +155,7 @@
             await asyncio.sleep(_LEASE_S * 0.75)
 
         self.table.acquire_weights = slow
-        given = await orders.give(
+        given = await model_orders.send_order(
             self.states[0], self.target, "load_model", "m"
         )
         self.assertFalse(given)
@@ -216,19 +216,27 @@
         while not condition():
             self.assertLess(_now(), end)
             for state in self.states:
-                await loads.step(state, _now())
-                await orders.step(state, _now())
+                await load_polling.step(state, _now())
+                await model_orders.step(state, _now())
             await asyncio.sleep(0.05)
 
     def test_what_is_missing(self):
         target = engines.target("g0", "127.0.0.1:9", serves=("m", "n"))
         report = interface.LoadReport("b", 0, 1, 0, 0, 0, 0.0, models=("n",))
-        given = orders.Given("b", frozenset(["m"]), 10.0)
-        self.assertEqual(orders.missing(target, report, None, 10.0), ["m"])
-        self.assertEqual(orders.missing(target, report, given, 11.0), [])
-        self.assertEqual(orders.missing(target, report, given, 30.0), ["m"])
+        given = model_orders.CompletedOrders("b", frozenset(["m"]), 10.0)
+        self.assertEqual(
+            model_orders.missing_models(target, report, None, 10.0), ["m"]
+        )
+        self.assertEqual(
+            model_orders.missing_models(target, report, given, 11.0), []
+        )
+        self.assertEqual(
+            model_orders.missing_models(target, report, given, 30.0), ["m"]
+        )
         other = dataclasses.replace(report, boot="c")
-        self.assertEqual(orders.missing(target, other, given, 11.0), ["m"])
+        self.assertEqual(
+            model_orders.missing_models(target, other, given, 11.0), ["m"]
+        )
 
 
 class LoadsTest(unittest.IsolatedAsyncioTestCase):
@@ -249,7 +257,7 @@
         await control.control(addresses["g1"], leaving=True)
         async with asyncio.timeout(10.0):
             while "g1" not in state.sched.leaving:
-                await loads.step(state, _now())
+                await load_polling.step(state, _now())
                 await asyncio.sleep(0.02)
         self.assertNotIn("g0", state.reports)
 
@@ -267,7 +275,7 @@
         state.polling.add("g7")
         for number in range(20):
             before = dict(state.polled_at)
-            await loads.step(state, float(number + 1))
+            await load_polling.step(state, float(number + 1))
             changed = [
                 n for n, at in state.polled_at.items() if before.get(n) != at
             ]
@@ -282,13 +290,13 @@
         state = await engines.entry_state(self, {})
         cfg = engines.configuration_of(300)
         seen = [
-            {t.name for t in loads.watched(cfg, f"e{i}", most=30)}
+            {t.name for t in load_polling.watched(cfg, f"e{i}", most=30)}
             for i in range(40)
         ]
         self.assertEqual({len(names) for names in seen}, {30})
         self.assertGreater(len(set.union(*seen)), 290)
         # One engine less changes one place of what an entry watches.
         cfg.targets.pop(min(seen[0]))
-        left = {t.name for t in loads.watched(cfg, "e0", most=30)}
+        left = {t.name for t in load_polling.watched(cfg, "e0", most=30)}
         self.assertEqual(len(left & seen[0]), 29)
-        self.assertEqual(len(loads.watched(state.cfg, "e0")), 0)
+        self.assertEqual(len(load_polling.watched(state.cfg, "e0")), 0)
--- a/copperloom/controllers/tests/test_records.py
+++ b/copperloom/controllers/tests/test_records.py
@@ -127,7 +127,7 @@
 
     async def test_done_is_replayed(self):
         mine = await claim(self.first)
-        await records.settle(
+        await records.record_outcome(
             self.first,
             mine,
             phase=records.Phase.DONE,
@@ -141,7 +141,7 @@
     async def test_failed_stays_failed(self):
         mine = await claim(self.first)
         run = exception.Run.MAY_HAVE_RUN
-        await records.settle(
+        await records.record_outcome(
             self.first, mine, phase=records.Phase.FAILED, code=4004, run=run
         )
         with self.assertRaises(exception.KeyInUseError) as caught:
--- a/copperloom/controllers/tests/test_owners.py
+++ b/copperloom/controllers/tests/test_reservation_owners.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from copperloom import configuration, exception, messages
-from copperloom.controllers import changes, contacts, owners
+from copperloom.controllers import changes, digest_exchange, reservation_owners
 from copperloom.controllers.tests import fixtures, fleet
 from copperloom.decisions import reservation
 from copperloom.peers import peers_pb2
@@ -58,7 +58,7 @@
 
     def owner(self, target):
         now = time.monotonic()
-        told = {owners.owner_of(e, target, now) for e in self.fleet}
+        told = {reservation_owners.owner_of(e, target, now) for e in self.fleet}
         if len(told) != 1:
             return None
         return next(e for e in self.fleet if e.settings.entry.instance in told)
@@ -77,7 +77,7 @@
         return True
 
     async def reserve(self, entry, placed):
-        await owners.reserve(entry, placed, time.monotonic())
+        await reservation_owners.reserve(entry, placed, time.monotonic())
 
     async def test_all_entries_agree_and_share_the_work(self):
         names = {
@@ -86,7 +86,7 @@
         }
         self.assertGreater(len(names), 1)
         now = time.monotonic()
-        owned = [set(owners.owned(e, now)) for e in self.fleet]
+        owned = [set(reservation_owners.owned(e, now)) for e in self.fleet]
         self.assertEqual(sum(map(len, owned)), len(self.fleet[0].cfg.targets))
         self.assertEqual(set.union(*owned), set(self.fleet[0].cfg.targets))
 
@@ -103,7 +103,7 @@
         with self.assertRaises(exception.CapacityExceededError) as caught:
             await self.reserve(second, two)
         self.assertGreater(caught.exception.retry_after_s, 0)
-        await owners.release(first, one)
+        await reservation_owners.release(first, one)
         await fixtures.until(lambda: self.free("t0") == _LONG, _BOUND_S)
         await self.reserve(second, two)
 
@@ -130,8 +130,8 @@
                 return_exceptions=True,
             )
             self.assertIn(None, results, results)
-            await owners.release(self.fleet[0], one)
-            await owners.release(self.fleet[1], two)
+            await reservation_owners.release(self.fleet[0], one)
+            await reservation_owners.release(self.fleet[1], two)
             await fixtures.until(
                 lambda: all(self.free(t) == _LONG for t in ("t0", "t1", "t2")),
                 _BOUND_S,
@@ -157,13 +157,13 @@
             kept.append(message)
             return peers_pb2.ReserveReply(granted=True)
 
-        with mock.patch.object(contacts, "call", keep):
-            await owners.step(entry, time.monotonic())
-        await owners.release(entry, placed)
+        with mock.patch.object(digest_exchange, "call", keep):
+            await reservation_owners.step(entry, time.monotonic())
+        await reservation_owners.release(entry, placed)
         await fixtures.until(lambda: self.free("t0") == _LONG, _BOUND_S)
         late = [m for m in kept if m.stream == placed.request.id]
         self.assertTrue(late)
-        owners.grant(owner, late[0], time.monotonic())
+        reservation_owners.grant(owner, late[0], time.monotonic())
         self.assertEqual(self.free("t0"), _LONG)
 
     async def test_dead_entry_loses_its_reservations(self):
--- a/copperloom/daemons/admin.py
+++ b/copperloom/daemons/admin.py
@@ -11,7 +11,13 @@
 from aiohttp import web
 
 from copperloom import exception
-from copperloom.controllers import changes, config, contacts, member, snapshot
+from copperloom.controllers import (
+    changes,
+    config,
+    digest_exchange,
+    member,
+    snapshot,
+)
 from copperloom.decisions import config_staleness
 from copperloom.logs import event
 
@@ -155,7 +161,7 @@
     """
     if _in_majority(state):
         return
-    await contacts.ask_all(state, list(state.members))
+    await digest_exchange.ask_all(state, list(state.members))
     if _in_majority(state):
         return
     facts = config.evidence(state, time.monotonic())
@@ -186,7 +192,7 @@
         behind = _behind(state, version)
         if _all_silent(state, behind, now) or now - begun >= wait_s:
             break
-        await contacts.ask_all(state, behind)
+        await digest_exchange.ask_all(state, behind)
         if _behind(state, version):
             await asyncio.sleep(_SPREAD_POLL_S)
     if state.cfg.version < version:
--- a/copperloom/daemons/entry.py
+++ b/copperloom/daemons/entry.py
@@ -23,12 +23,12 @@
 from copperloom.controllers import (
     config,
     dispatcher,
-    leaving,
-    loads,
-    members,
-    orders,
-    owners,
+    draining,
+    load_polling,
+    membership,
+    model_orders,
     reclaim,
+    reservation_owners,
     sweep,
 )
 from copperloom.daemons import http, options, running
@@ -57,13 +57,13 @@
     own = state.settings
     return [
         ("config", config.step, own.platform.head_poll_s),
-        ("members", members.step, own.membership.exchange_s),
-        ("leaving", leaving.step, own.platform.instances_poll_s),
-        ("loads", loads.step, own.targets.load_poll_s),
-        ("owners", owners.step, own.targets.reservation_s / 4),
+        ("members", membership.step, own.membership.exchange_s),
+        ("leaving", draining.step, own.platform.instances_poll_s),
+        ("loads", load_polling.step, own.targets.load_poll_s),
+        ("owners", reservation_owners.step, own.targets.reservation_s / 4),
         ("reclaim", reclaim.step, own.targets.reclaim_poll_s),
         ("sweep", sweep.step, _SWEEP_S),
-        ("orders", orders.step, orders.interval_s(state)),
+        ("orders", model_orders.step, model_orders.interval_s(state)),
     ]
 
 
--- a/copperloom/daemons/state.py
+++ b/copperloom/daemons/state.py
@@ -9,11 +9,11 @@
 
 from copperloom import configuration, messages
 from copperloom.controllers import (
-    batch,
     cancels,
     member,
-    orders,
+    model_orders,
     orphans,
+    row_batch,
     sweep,
 )
 from copperloom.daemons import metrics, options
@@ -98,7 +98,7 @@
         self.draining = False
         self.active = 0
         self.waiting: dict[str, asyncio.Future] = {}
-        self.batcher = batch.Batcher(
+        self.batcher = row_batch.Batcher(
             platform, timeout_s=settings.platform.timeout_s
         )
         self.sweep = sweep.Sweep()
@@ -111,7 +111,7 @@
         self.reports: dict[str, LoadReport] = {}
         self.polling: set[str] = set()
         self.polled_at: dict[str, float] = {}
-        self.orders = orders.Orders()
+        self.orders = model_orders.Orders()
         self._sequence = itertools.count(1)
 
     def next_id(self) -> str:
--- a/copperloom/experiments/control.py
+++ b/copperloom/experiments/control.py
@@ -8,7 +8,12 @@
 import resource
 import time
 
-from copperloom.controllers import loads, member, owners, snapshot
+from copperloom.controllers import (
+    load_polling,
+    member,
+    reservation_owners,
+    snapshot,
+)
 from copperloom.daemons import options
 from copperloom.daemons.state import EntryState
 from copperloom.decisions import scheduler
@@ -79,8 +84,10 @@
     own = state.settings.entry.instance
 
     work = {
-        "owners of all targets": lambda: owners.owned(state, now),
-        "choice of the engines watched": lambda: loads.watched(state.cfg, own),
+        "owners of all targets": lambda: reservation_owners.owned(state, now),
+        "choice of the engines watched": lambda: load_polling.watched(
+            state.cfg, own
+        ),
         "configuration taken over by the scheduler": lambda: (
             scheduler.set_configuration(state.sched, state.cfg, now)
         ),
--- a/copperloom/experiments/tests/test_capacity.py
+++ b/copperloom/experiments/tests/test_capacity.py
@@ -3,7 +3,7 @@
 import dataclasses
 import unittest
 
-from copperloom.controllers import owners
+from copperloom.controllers import reservation_owners
 from copperloom.experiments import control, sizes, slopes, worked
 
 _SMALL = dataclasses.replace(sizes.DESIGN, organisations=200, runners=500)
@@ -51,10 +51,10 @@
         wanted = {
             name
             for name in state.cfg.targets
-            if owners.owner_of(state, name, 1.0) == own
+            if reservation_owners.owner_of(state, name, 1.0) == own
         }
         self.assertTrue(wanted)
-        self.assertEqual(owners.owned(state, 1.0).keys(), wanted)
+        self.assertEqual(reservation_owners.owned(state, 1.0).keys(), wanted)
 
 
 class WorkedTest(unittest.TestCase):
--- a/copperloom/experiments/wire.py
+++ b/copperloom/experiments/wire.py
@@ -13,7 +13,7 @@
 import grpclib.client
 import grpclib.server
 
-from copperloom.controllers import batch
+from copperloom.controllers import row_batch
 from copperloom.experiments import plan, sizes, slopes
 from copperloom.peers import peers_grpc, peers_pb2
 from copperloom.platform import http as platform_http
@@ -121,7 +121,7 @@
             return await client.transact(*args, **kwargs)
 
         counted = dataclasses.replace(client, transact=transact)
-        batcher = batch.Batcher(counted, timeout_s=_CALL_S)
+        batcher = row_batch.Batcher(counted, timeout_s=_CALL_S)
         begin, cpu = time.monotonic(), time.process_time()
         await _write_records(batcher)
         took, used = time.monotonic() - begin, time.process_time() - cpu
@@ -134,7 +134,7 @@
     ]
 
 
-async def _write_records(batcher: batch.Batcher) -> None:
+async def _write_records(batcher: row_batch.Batcher) -> None:
     value = {"nonce": "0" * 24, "digest": "0" * 32, "state": "started"}
     pending: set[asyncio.Task] = set()
     for index in range(_RECORDS):
@@ -143,7 +143,7 @@
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
         key = f"idem/organisation-{index % 97:05d}/key-{index}"
-        pending.add(asyncio.create_task(batch.put(batcher, key, 0, value)))
+        pending.add(asyncio.create_task(row_batch.put(batcher, key, 0, value)))
     await asyncio.gather(*pending)
 
 
--- a/copperloom/experiments/worked.py
+++ b/copperloom/experiments/worked.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-from copperloom.controllers import loads, member, members
+from copperloom.controllers import load_polling, member, membership
 from copperloom.daemons import options
 from copperloom.experiments import plan, sizes
 
@@ -151,7 +151,7 @@
     looks = 1 / member.list_interval(poll_s, size.daemons)
     list_bytes = size.daemons * got.list_row_bytes
     # Each entry sends as many as it gets.
-    sent = members.exchanges_per_s(own.membership, size.daemons)
+    sent = membership.exchanges_per_s(own.membership, size.daemons)
     each = got.exchange_bytes + 2 * _DIGEST_LOADS * got.load_bytes
     return [
         Row(
@@ -173,7 +173,7 @@
 
 
 def _engines(got, size, own) -> list[Row]:
-    watched = min(loads.WATCH_MOST, size.runners)
+    watched = min(load_polling.WATCH_MOST, size.runners)
     polls = min(watched / own.targets.load_poll_s, own.targets.load_polls_per_s)
     steps = 4 / own.targets.reservation_s
     owned = size.runners / size.daemons
--- a/copperloom/filters/attempt.py
+++ b/copperloom/filters/attempt.py
@@ -6,7 +6,7 @@
 
 from copperloom import exception
 from copperloom.controllers import reclaim
-from copperloom.filters import answers, exchange, pace, read
+from copperloom.filters import answers, exchange, read, token_batching
 from copperloom.targets.interface import Piece
 
 __all__ = ["Attempt", "abandon", "copy", "pause", "rest"]
@@ -61,7 +61,7 @@
     Raises:
         copperloom.exception.StreamBrokenError: It ended without a final piece.
     """
-    gather = pace.Pace(ex.state.settings.limits.gather_ms / 1000)
+    gather = token_batching.TokenRate(ex.state.settings.limits.gather_ms / 1000)
     async with contextlib.aclosing(source) as batches:
         async for pieces in batches:
             attempt.taken = True
@@ -73,7 +73,7 @@
             _take(ex, attempt, pieces)
             await answer.write(pieces)
             if not attempt.final:
-                await pace.pause(gather, ex.tokens - before)
+                await token_batching.pause(gather, ex.tokens - before)
     if not attempt.final:
         raise exception.StreamBrokenError("no final piece")
 
--- a/copperloom/filters/chain.py
+++ b/copperloom/filters/chain.py
@@ -4,15 +4,15 @@
 from copperloom.filters import (
     estimate,
     exchange,
-    fresh,
+    idempotency,
     identify,
-    once,
     outcome,
     read,
     relay,
     resume,
     schedule,
     service,
+    staleness,
 )
 
 __all__ = ["CHAT", "RESUME", "SERVICE", "run"]
@@ -22,10 +22,10 @@
 CHAT: tuple[exchange.Filter, ...] = (
     outcome.outcome,
     identify.identify,
-    fresh.fresh,
+    staleness.require_current,
     read.read_chat,
     estimate.estimate_chat,
-    once.once,
+    idempotency.run_once,
     schedule.schedule,
     relay.relay,
 )
@@ -33,10 +33,10 @@
 SERVICE: tuple[exchange.Filter, ...] = (
     outcome.outcome,
     identify.identify,
-    fresh.fresh,
+    staleness.require_current,
     read.read_service,
     estimate.estimate_service,
-    once.once,
+    idempotency.run_once,
     schedule.schedule,
     service.call,
 )
@@ -44,7 +44,7 @@
 RESUME: tuple[exchange.Filter, ...] = (
     outcome.outcome,
     identify.identify,
-    fresh.fresh,
+    staleness.require_current,
     resume.resume,
 )
 
--- a/copperloom/filters/once.py
+++ b/copperloom/filters/idempotency.py
@@ -11,7 +11,7 @@
 from copperloom.filters import answers, exchange
 from copperloom.targets.interface import Piece
 
-__all__ = ["Kept", "once"]
+__all__ = ["Kept", "run_once"]
 
 
 @dataclasses.dataclass(slots=True)
@@ -41,7 +41,7 @@
             self.parts.clear()
 
 
-async def once(ex: exchange.Exchange, nxt: exchange.Next) -> None:
+async def run_once(ex: exchange.Exchange, nxt: exchange.Next) -> None:
     """Claims the key before anything is sent, settles it afterwards.
 
     The claim is made before the request can be refused for load: a repeat
@@ -84,18 +84,18 @@
 ) -> None:
     not_run = run is exception.Run.NOT_RUN
     phase = records.Phase.NOT_RUN if not_run else records.Phase.FAILED
-    records.settle_later(
+    records.record_outcome_later(
         ex.state, ex.record, phase=phase, code=code, run=run.value
     )
 
 
-async def settle_done(ex: exchange.Exchange) -> None:
+async def record_completion(ex: exchange.Exchange) -> None:
     """Records that the work is done, before the answer's end is sent."""
     if ex.record is None:
         return
     kept = ex.kept
     whole = kept.room >= 0
-    await records.settle(
+    await records.record_outcome(
         ex.state,
         ex.record,
         phase=records.Phase.DONE,
--- a/copperloom/filters/relay.py
+++ b/copperloom/filters/relay.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from copperloom import exception
-from copperloom.controllers import owners
+from copperloom.controllers import reservation_owners
 from copperloom.decisions import scheduler
 from copperloom.filters import (
     answers,
     attempt,
     exchange,
-    once,
+    idempotency,
     schedule,
 )
 from copperloom.targets import groups
@@ -50,7 +50,7 @@
     placement = ex.placement
     if placement.long:
         now = asyncio.get_running_loop().time()
-        await owners.reserve(state, placement, now)
+        await reservation_owners.reserve(state, placement, now)
     try:
         schedule.check_placement(ex)
         own = _new_attempt(ex, number)
@@ -63,7 +63,7 @@
                 attempt.abandon(ex, own)
     finally:
         if placement.long:
-            await owners.release(state, placement)
+            await reservation_owners.release(state, placement)
 
 
 def _new_attempt(ex: exchange.Exchange, number: int) -> attempt.Attempt:
@@ -107,7 +107,7 @@
             ex.state.metrics.resumes.inc()
             tries = await attempt.pause(own, tries)
         source = attempt.rest(ex, own)
-    await once.settle_done(ex)
+    await idempotency.record_completion(ex)
     await answer.end()
 
 
--- a/copperloom/filters/service.py
+++ b/copperloom/filters/service.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from copperloom import exception
-from copperloom.filters import answers, exchange, once, schedule
+from copperloom.filters import answers, exchange, idempotency, schedule
 from copperloom.targets.interface import ServiceCall, ServiceReply
 
 __all__ = ["call"]
@@ -71,7 +71,7 @@
         ex.kept.add(reply.body)
         ex.kept.status = reply.status
         ex.kept.content_type = reply.content_type or "application/octet-stream"
-    await once.settle_done(ex)
+    await idempotency.record_completion(ex)
     response = web.Response(
         status=reply.status,
         body=reply.body,
--- a/copperloom/filters/fresh.py
+++ b/copperloom/filters/staleness.py
@@ -6,10 +6,10 @@
 from copperloom.controllers import config
 from copperloom.filters import exchange
 
-__all__ = ["fresh"]
+__all__ = ["require_current"]
 
 
-async def fresh(ex: exchange.Exchange, nxt: exchange.Next) -> None:
+async def require_current(ex: exchange.Exchange, nxt: exchange.Next) -> None:
     """Refuses with code 5006 unless the configuration may be acted upon.
 
     An entry that is cut off would go on under an old preset, or send work to
--- a/copperloom/filters/tests/test_pace.py
+++ b/copperloom/filters/tests/test_token_batching.py
@@ -2,16 +2,16 @@
 
 import unittest
 
-from copperloom.filters import pace
+from copperloom.filters import token_batching
 
 _GATHER_S = 0.025
 
 
 def delays(spacing_s: float, tokens: int, reads: int) -> list[float]:
     """Returns the waits after reads that each bring some tokens."""
-    state = pace.Pace(_GATHER_S)
+    state = token_batching.TokenRate(_GATHER_S)
     return [
-        pace.delay_s(state, tokens, 1.0 + i * spacing_s * tokens)
+        token_batching.delay_s(state, tokens, 1.0 + i * spacing_s * tokens)
         for i in range(reads)
     ]
 
@@ -28,18 +28,18 @@
         self.assertEqual(delays(0.072, 1, 20), [0.0] * 20)
 
     def test_stream_that_slows_down_is_held_no_more(self):
-        state = pace.Pace(_GATHER_S)
+        state = token_batching.TokenRate(_GATHER_S)
         now = 0.0
         for _ in range(10):
             now += 0.005
-            pace.delay_s(state, 1, now)
+            token_batching.delay_s(state, 1, now)
         waits = []
         for _ in range(6):
             now += 0.072
-            waits.append(pace.delay_s(state, 1, now))
+            waits.append(token_batching.delay_s(state, 1, now))
         self.assertEqual(waits[-1], 0.0)
 
     def test_zero_turns_it_off(self):
-        state = pace.Pace(0.0)
-        self.assertEqual(pace.delay_s(state, 5, 1.0), 0.0)
-        self.assertEqual(pace.delay_s(state, 5, 1.001), 0.0)
+        state = token_batching.TokenRate(0.0)
+        self.assertEqual(token_batching.delay_s(state, 5, 1.0), 0.0)
+        self.assertEqual(token_batching.delay_s(state, 5, 1.001), 0.0)
--- a/copperloom/filters/pace.py
+++ b/copperloom/filters/token_batching.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-__all__ = ["Pace", "delay_s", "pause"]
+__all__ = ["TokenRate", "delay_s", "pause"]
 
 # Gathering pays from about two tokens a read on.
 _LEAST_TOKENS = 1.5
@@ -17,7 +17,7 @@
 _NEWEST = 0.3
 
 
-class Pace:
+class TokenRate:
     """How fast a stream's tokens come.
 
     Attributes:
@@ -32,7 +32,7 @@
         self.spacing_s = float("inf")
 
 
-def delay_s(pace: Pace, tokens: int, now: float) -> float:
+def delay_s(pace: TokenRate, tokens: int, now: float) -> float:
     """Returns how long to wait before the next read, 0 for not at all."""
     last, pace.last = pace.last, now
     if last is None or not tokens:
@@ -47,7 +47,7 @@
     return pace.gather_s
 
 
-async def pause(pace: Pace, tokens: int) -> None:
+async def pause(pace: TokenRate, tokens: int) -> None:
     """Waits before the next read, if that gathers tokens."""
     wait_s = delay_s(pace, tokens, asyncio.get_running_loop().time())
     if wait_s:
--- a/copperloom/peers/server.py
+++ b/copperloom/peers/server.py
@@ -7,7 +7,12 @@
 import grpclib.const
 import grpclib.server
 
-from copperloom.controllers import contacts, fetch, members, owners
+from copperloom.controllers import (
+    config_fetch,
+    digest_exchange,
+    membership,
+    reservation_owners,
+)
 from copperloom.peers import digest, peers_grpc, peers_pb2
 
 __all__ = ["PeerServer", "serve"]
@@ -37,7 +42,7 @@
     async def wait_closed(self) -> None:
         """Waits until calls from and to peers have ended."""
         await self.server.wait_closed()
-        await members.close(self.service.state)
+        await membership.close(self.service.state)
 
 
 class _Peers(peers_grpc.PeersBase):
@@ -48,23 +53,25 @@
     async def Exchange(self, stream) -> None:  # noqa: N802
         told = await self.receive(stream)
         now = asyncio.get_running_loop().time()
-        contacts.note_request(self.state, told, now)
+        digest_exchange.note_request(self.state, told, now)
         reply = digest.make(self.state, now)
         await self.send(stream, digest.add_peers(reply, self.state, told), told)
 
     async def Reserve(self, stream) -> None:  # noqa: N802
         asked = await self.receive(stream)
         now = asyncio.get_running_loop().time()
-        await self.send(stream, owners.grant(self.state, asked, now), asked)
+        await self.send(
+            stream, reservation_owners.grant(self.state, asked, now), asked
+        )
 
     async def Release(self, stream) -> None:  # noqa: N802
         asked = await self.receive(stream)
-        owners.give_back(self.state, asked)
+        reservation_owners.give_back(self.state, asked)
         await self.send(stream, peers_pb2.ReleaseReply(), asked)
 
     async def Fetch(self, stream) -> None:  # noqa: N802
         asked = await self.receive(stream)
-        await self.send(stream, fetch.reply_to(self.state, asked), asked)
+        await self.send(stream, config_fetch.reply_to(self.state, asked), asked)
 
     async def receive(self, stream):
         if self.closed:
--- a/copperloom/tests/fakes.py
+++ b/copperloom/tests/fakes.py
@@ -4,7 +4,7 @@
 import types
 
 from copperloom import exception
-from copperloom.controllers import batch, sweep
+from copperloom.controllers import row_batch, sweep
 from copperloom.daemons import options
 from copperloom.platform.interface import Row, TransactResult
 
@@ -94,7 +94,7 @@
         owner="a.b",
         sweep=sweep.Sweep(),
         platform=platform,
-        batcher=batch.Batcher(platform, timeout_s=1.0),
+        batcher=row_batch.Batcher(platform, timeout_s=1.0),
         background=set(),
         settings=types.SimpleNamespace(platform=options.PlatformSection()),
     )
