--- a/copperloom/decisions/iterations.py
+++ b/copperloom/decisions/iterations.py
@@ -39,7 +39,7 @@
     pending: tuple[bool, ...]
 
     @property
-    def reading_s(self) -> float:
+    def prefill_left_s(self) -> float:
         """Time until all that is known of is read."""
         return max(self.done_s, default=0.0)
 
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -50,7 +50,7 @@
         first_s: Time to the first token; None if it was refused.
         pause_s: Longest pause between events.
         instance: Number of the instance that places it.
-        begun: When it was placed.
+        started_at: When it was placed.
         left: Parts that are not read yet.
         events: Events written.
         last_at: Time of the last event.
@@ -60,7 +60,7 @@
     first_s: float | None = None
     pause_s: float = 0.0
     instance: int = 0
-    begun: float = 0.0
+    started_at: float = 0.0
     left: int = 0
     events: int = 0
     last_at: float = 0.0
@@ -77,7 +77,7 @@
 class _Reading:
     served: Served
     left_s: float
-    in_parts: bool
+    is_split: bool
 
 
 class _Engine:
@@ -173,7 +173,7 @@
         ]
         plan = place(prompt, candidates)
         if isinstance(plan, plans.Deferral):
-            self.schedule(now + plan.seconds, ("arrive", served))
+            self.schedule(now + plan.delay_s, ("arrive", served))
             return
         if not isinstance(plan, plans.Plan):
             return
--- a/copperloom/decisions/tests/test_decode_rate.py
+++ b/copperloom/decisions/tests/test_decode_rate.py
@@ -3,7 +3,7 @@
 import unittest
 
 from copperloom.decisions import decode_rate, iterations
-from copperloom.decisions.tests.test_spread import ENGINE
+from copperloom.decisions.tests.test_planner import ENGINE
 
 _IDLE_S = iterations.iteration_s(ENGINE, 1, 5000)
 _READING_S = 0.14
--- a/copperloom/decisions/tests/test_deferral.py
+++ b/copperloom/decisions/tests/test_deferral.py
@@ -5,7 +5,7 @@
 
 from copperloom.decisions import deferral, inflight, iterations, planner, plans
 from copperloom.decisions.tests import peaks, sheets
-from copperloom.decisions.tests.test_spread import ENGINE
+from copperloom.decisions.tests.test_planner import ENGINE
 
 _PROMPT = plans.Prompt(
     tokens=200_000,
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -14,8 +14,8 @@
 
 def _work(target: str = "e0", begun: float = 0.0, **changes) -> inflight.Work:
     given = {
-        "reads_s": 0.5,
-        "writes": True,
+        "prefill_s": 0.5,
+        "generates": True,
         "tokens": 1000,
         "pause_aim_s": 0.25,
     }
--- a/copperloom/decisions/tests/test_peak.py
+++ b/copperloom/decisions/tests/test_peak.py
@@ -7,7 +7,7 @@
 
 from copperloom.decisions import inflight, planner, plans
 from copperloom.decisions.tests import emulator
-from copperloom.decisions.tests.test_spread import ENGINE, LONG, SHORT
+from copperloom.decisions.tests.test_planner import ENGINE, LONG, SHORT
 
 MIDDLE = plans.Prompt(
     tokens=45_000,
