--- a/copperloom/decisions/members.py
+++ b/copperloom/decisions/members.py
@@ -1,9 +1,10 @@
-"""The other instances: who is heard, who owns a shard, who is told and asked.
+"""Liveness of the other instances, and which of them own a shard.
 
-In a small fleet each instance hears all others. In a larger one each hears
-the owners of the shards that it uses and of its own data centre, which answer
-whoever tells them something. Nobody needs a list of the living: an owner that
-stays silent is passed over for the next one in the order that all share.
+In a small fleet each instance exchanges updates with all others. In a larger
+one it does so with the owners of the shards that it uses and of its own data
+centre, which reply to each update. No list of live members is agreed upon: an
+owner that does not reply is skipped in favour of the next one in a ranking
+that all instances compute alike.
 """
 
 import dataclasses
@@ -30,18 +31,18 @@
     "owners_to_notify",
 ]
 
-# Members that are told something answer once a second at least: two lost
-# messages in a row are borne.
+# Members reply to updates at least once a second, so two consecutive lost
+# messages are tolerated.
 MEMBER_TIMEOUT_S = 3.0
-# Whoever tells something hears from the member that was told at least so often.
+# A member that receives updates replies at least at this interval.
 REPLY_INTERVAL_S = 0.9
-# A member that has left a message without an answer for so long is not told
-# more; after the second time it is tried again.
+# A member that has not replied for SKIP_AFTER_S gets no updates for SKIP_S.
+# Then it is tried again, since a network partition may have healed.
 SKIP_AFTER_S = 2.2
 SKIP_S = 6.0
-# An owner that left a question unanswered is asked after the others for so
-# long, or until it is heard: each question to a frozen one costs a caller the
-# time until the next owner is asked.
+# After a query timeout an owner is queried last for this duration, or until a
+# message from it arrives: each query to a frozen owner delays a request by the
+# query timeout.
 SUSPECT_S = 1.0
 
 
@@ -52,23 +53,26 @@
     Attributes:
         instance: Its name.
         datagrams: IP:port for datagrams.
-        calls: IP:port for calls, "" if it takes none.
+        calls: IP:port for RPCs, "" if it accepts none.
         discovered_at: Monotonic time at which it became known.
-        last_received_at: Monotonic time of its last message; -inf if none came.
-        boot: The run of its process that was heard last.
-        data_centre: Where it stands, "" if it has not said so yet.
+        last_received_at: Monotonic time of its last message; -inf if there
+            was none.
+        boot: Identifier of its process's latest start, from its last message.
+        data_centre: Its data centre, "" if not known yet.
         cores: Its share of processor time, in cores.
         routes_version: Version of the routes that it has.
         targets_version: Version of the targets that it has.
-        draining: Whether it is stopping.
-        table_unreachable: Whether the platform's table does not answer it.
-        last_sent_at: Monotonic time at which it was told something last.
-        unanswered_since: Monotonic time of the first message that it has not
-            answered; inf if there is none.
-        suspect_until: Monotonic time until which others are asked sooner.
-        busy: How busy the targets of its data centre are, by service; told by
-            owners only.
-        busy_at: Monotonic time at which it told that.
+        draining: Whether it is shutting down.
+        table_unreachable: Whether it cannot reach the platform's table
+            service.
+        last_sent_at: Monotonic time of the last message to it.
+        unanswered_since: Monotonic time of the first message to which it has
+            not replied; inf if there is none.
+        suspect_until: Monotonic time until which other owners are queried
+            first.
+        busy: Utilisation of the targets of its data centre, by service; sent
+            by owners only.
+        busy_at: Monotonic time at which `busy` was received.
     """
 
     instance: str
@@ -91,10 +95,10 @@
 
 
 def record_sent(member: Member, now: float) -> None:
-    """Notes that a message went to it, to which it should answer.
+    """Records a message to a member, to which it should reply.
 
-    One that spoke within ANSWER_S need not: it has told what it knows, and
-    speaks again only when it is told something later.
+    A member that sent a message within REPLY_INTERVAL_S is not expected to
+    reply, since it limits how often it does.
     """
     member.last_sent_at = now
     if now - member.last_received_at < REPLY_INTERVAL_S:
@@ -105,45 +109,45 @@
 
 
 def record_reply_sent(member: Member, now: float) -> None:
-    """Notes that a message of its was answered; it owes nothing for that."""
+    """Records a reply to a member; a reply calls for no further reply."""
     member.last_sent_at = now
 
 
 def record_received(member: Member, now: float) -> None:
-    """Notes that a message came from it."""
+    """Records a message from a member."""
     member.last_received_at = now
     member.unanswered_since = math.inf
     member.suspect_until = -math.inf
 
 
 def record_query_timeout(member: Member, now: float) -> None:
-    """Notes that a question to it was not answered in time."""
+    """Records that a placement query to a member timed out."""
     member.suspect_until = now + SUSPECT_S
 
 
 def is_live(member: Member, now: float) -> bool:
-    """Tells whether it was heard of late and is not stopping."""
+    """Returns whether a member sent a message recently and is not draining."""
     return (
         now - member.last_received_at < MEMBER_TIMEOUT_S and not member.draining
     )
 
 
 def is_skipped(member: Member, now: float) -> bool:
-    """Tells whether it has left messages unanswered and is let be."""
+    """Returns whether updates to an unresponsive member are suspended."""
     silent_s = now - member.unanswered_since
     return SKIP_AFTER_S < silent_s < SKIP_AFTER_S + SKIP_S
 
 
 def live(members: Mapping[str, Member], now: float) -> list[Member]:
-    """Lists the members that were heard of late."""
+    """Lists the live members."""
     return [m for m in members.values() if is_live(m, now)]
 
 
 def count_sharing(members: Mapping[str, Member], now: float) -> int:
-    """Counts the instances that may spend of what all share, this one too.
+    """Counts the instances that share a fleet-wide budget, this one included.
 
-    In a large fleet few of those that live are heard, so all count that are
-    known of.
+    In a large fleet an instance receives messages from only a few of the
+    others, so it counts all known members instead of the live ones.
     """
     if shards.has_owners(len(members) + 1):
         return len(members) + 1
@@ -156,24 +160,25 @@
     own_data_centre: str,
     shard: shards.Shard,
 ) -> list[str]:
-    """Orders all instances that may own a shard, this one included.
+    """Ranks the instances that may own a shard, this one included.
 
     Args:
-        members: The others.
+        members: The other instances.
         own: This instance.
-        own_data_centre: Where it stands.
-        shard: What is owned.
+        own_data_centre: Data centre of this instance.
+        shard: The shard.
 
     Returns:
-        Names; where nobody stands in the shard's data centre, all may own it.
+        Names of the instances in the shard's data centre; of all instances if
+        there are none in it.
     """
     by_data_centre = {own_data_centre: [own]}
     for member in members.values():
-        found = by_data_centre.setdefault(member.data_centre, [])
-        found.append(shards.Instance(member.instance, member.cores))
-    near = by_data_centre.get(shard.data_centre)
-    if near is not None and shard.data_centre:
-        return shards.rank(shard.data_centre, near)
+        instances = by_data_centre.setdefault(member.data_centre, [])
+        instances.append(shards.Instance(member.instance, member.cores))
+    local = by_data_centre.get(shard.data_centre)
+    if local is not None and shard.data_centre:
+        return shards.rank(shard.data_centre, local)
     return _ranked_everywhere(
         shard.service or shard.data_centre, by_data_centre
     )
@@ -182,11 +187,12 @@
 def _ranked_everywhere(
     key: str, by_data_centre: Mapping[str, list[shards.Instance]]
 ) -> list[str]:
-    """Orders instances of all data centres, first the owners of each of them.
+    """Ranks instances of all data centres, the owners of each of them first.
 
     In a large fleet an instance knows the members of its own data centre and
-    the owners of the others. Ranked all alike, those that only some know would
-    come first there, and each data centre would find another order.
+    only the owners of the others. In a single ranking, members known in only
+    one data centre could come first there, and the data centres would disagree
+    on the owners.
     """
     owners = []
     others = []
@@ -206,54 +212,55 @@
     owners: int = shards.OWNERS,
     listening_since: float = -math.inf,
 ) -> bool:
-    """Tells whether this instance is among the first that live.
+    """Returns whether this instance is among the first live ones in a ranking.
 
-    Nobody is taken for dead before it has had the time to speak: of hundreds
-    that start at the same moment each has heard nobody, and all would take
-    themselves for owners.
+    Just after the start all members count as live: when many instances start
+    together none has received a message yet, and each would consider itself an
+    owner.
 
     Args:
         order: Names from `rank_owners`.
-        members: The others.
-        own: This instance.
+        members: The other instances.
+        own: Name of this instance.
         now: Monotonic time.
-        owners: How many there are.
-        listening_since: Monotonic time at which this instance began to listen.
+        owners: Number of owners of a shard.
+        listening_since: Monotonic time at which this instance began to receive
+            messages.
     """
     if own not in order:
         return False
-    before = order[: order.index(own)]
+    ranked_before = order[: order.index(own)]
     if now - listening_since < MEMBER_TIMEOUT_S:
-        return len(before) < owners
-    return sum(is_live(members[n], now) for n in before) < owners
+        return len(ranked_before) < owners
+    return sum(is_live(members[n], now) for n in ranked_before) < owners
 
 
 def owners_to_notify(
     order: Iterable[str], members: Mapping[str, Member], own: str, now: float
 ) -> list[Member]:
-    """Lists the owners that should hear of work at a shard.
+    """Lists the members that should receive updates on work at a shard.
 
-    The first that live, and those before them that may have begun to: an
-    instance that has just started again has to hear of all work before it is
-    asked.
+    These are the first live members, and members ranked before them that are
+    not skipped: an instance that has just restarted needs the work in progress
+    before it is queried.
     """
-    told = []
-    heard = 0
+    recipients = []
+    live_count = 0
     for name in order:
         if name == own:
-            heard += 1
+            live_count += 1
         elif not (members[name].draining or is_skipped(members[name], now)):
-            told.append(members[name])
-            heard += is_live(members[name], now)
-        if heard >= shards.OWNERS or len(told) >= 2 * shards.OWNERS:
+            recipients.append(members[name])
+            live_count += is_live(members[name], now)
+        if live_count >= shards.OWNERS or len(recipients) >= 2 * shards.OWNERS:
             break
-    return told
+    return recipients
 
 
 def owners_to_query(
     order: Iterable[str], members: Mapping[str, Member], own: str, now: float
 ) -> list[Member]:
-    """Lists the owners that may be asked to place, the first one first."""
+    """Lists the owners to send placement queries to, in order of preference."""
     others = (members[n] for n in order if n != own)
     found = [m for m in others if is_live(m, now)][: shards.OWNERS]
     return sorted(found, key=lambda m: now < m.suspect_until)
--- a/copperloom/decisions/registry.py
+++ b/copperloom/decisions/registry.py
@@ -1,10 +1,10 @@
-"""Which targets may get new work, from what the platform's table says.
+"""The targets that are registered in the platform's table service.
 
-Made for a table that forgets: while it is away, the registrations of targets
-that are well may lapse, and they are written again within about two seconds
-of its return. Dropping all of them at once would refuse every request though
-all targets work. So for that long a target that is missing is kept as a last
-resort: used only where its service has no other target left.
+Registrations of healthy targets may lapse during an outage of the table
+service; the targets register again shortly after it returns. Dropping all of
+them at once would refuse every request although the targets work. Entries that
+vanish around an outage are therefore kept for a short time as a last resort:
+they are used only if their service has no other target.
 """
 
 from collections.abc import Iterable
@@ -24,8 +24,8 @@
     "usable",
 ]
 
-# Registrations that lapsed during an outage are back within about this time
-# of the platform's return; one still missing then is gone.
+# Targets register again within this time after an outage; entries that are
+# still missing then are dropped.
 LAPSE_S = 2.0
 
 
@@ -35,13 +35,14 @@
     Attributes:
         entries: Entries in the table, by name.
         missing: Entries that vanished around an outage, with the monotonic
-            time until which they count.
-        version: Version of the table that this is as of.
-        outage_at: Monotonic time of the last failed call to the platform.
-        ready: Entries that take new work, by service and shard; made again
-            after a change, since each request needs them.
+            time until which they are kept.
+        version: Version of the table that the entries are taken from.
+        outage_at: Monotonic time of the last failed call to the table
+            service.
+        divisions: Entries that accept new work, by service and shard; a cache
+            that each change clears.
         services: Services that entries belong to; None after a change.
-        low_latency: Services whose data centres are near each other.
+        low_latency: Services with low latency between their data centres.
     """
 
     def __init__(self):
@@ -49,13 +50,13 @@
         self.missing: dict[str, tuple[routing.TargetEntry, float]] = {}
         self.version = 0
         self.outage_at = float("-inf")
-        self.ready: dict[str, shards.Division] = {}
+        self.divisions: dict[str, shards.Division] = {}
         self.services: frozenset[str] | None = None
         self.low_latency: frozenset[str] = frozenset()
 
 
 def record_outage(reg: Registry, now: float) -> None:
-    """Notes that the platform did not answer."""
+    """Records a failed call to the platform's table service."""
     reg.outage_at = now
 
 
@@ -65,10 +66,10 @@
     version: int,
     now: float,
 ) -> list[routing.TargetEntry]:
-    """Takes over the whole table.
+    """Adopts the rows of the whole table; an older version is ignored.
 
     Returns:
-        Targets that are new, or started again under their old name.
+        Targets that are new or were restarted under the same name.
     """
     if version < reg.version:
         return []
@@ -83,12 +84,12 @@
     version: int,
     now: float,
 ) -> list[routing.TargetEntry]:
-    """Takes over changed rows; None is a row that names no target.
+    """Applies changed rows; None stands for a removed target.
 
     Returns:
-        Targets that are new, or started again under their old name.
+        Targets that are new or were restarted under the same name.
     """
-    reg.ready.clear()
+    reg.divisions.clear()
     reg.services = None
     started = []
     for name, entry in changes:
@@ -97,7 +98,7 @@
             _remove(reg, name, now)
             continue
         if old is not None and entry.born_ms < old.born_ms:
-            # A row of an earlier start that comes late.
+            # A delayed row of the target's earlier start.
             continue
         reg.entries[name] = entry
         reg.missing.pop(name, None)
@@ -117,7 +118,7 @@
 
 
 def find(reg: Registry, name: str) -> routing.TargetEntry | None:
-    """Returns a target's entry, also if it vanished around an outage."""
+    """Returns a target's entry, including one that vanished in an outage."""
     entry = reg.entries.get(name)
     if entry is None and name in reg.missing:
         entry = reg.missing[name][0]
@@ -125,10 +126,10 @@
 
 
 def set_low_latency(reg: Registry, low_latency: frozenset[str]) -> None:
-    """Notes the services whose data centres are near each other."""
+    """Sets the services with low latency between their data centres."""
     if low_latency != reg.low_latency:
         reg.low_latency = low_latency
-        reg.ready.clear()
+        reg.divisions.clear()
 
 
 def services(reg: Registry) -> frozenset[str]:
@@ -141,13 +142,13 @@
 def usable(
     reg: Registry, service: str, now: float
 ) -> list[routing.TargetEntry]:
-    """Lists the targets of a service that may get new work."""
+    """Returns the targets of a service that may get new work."""
     return usable_by_shard(reg, service, now).targets
 
 
 def usable_by_shard(reg: Registry, service: str, now: float) -> shards.Division:
     """Returns the targets of a service that may get new work, by shard."""
-    found = reg.ready.get(service)
+    found = reg.divisions.get(service)
     if found is None:
         found = shards.divide(
             [
@@ -157,7 +158,7 @@
             ],
             low_latency=service in reg.low_latency,
         )
-        reg.ready[service] = found
+        reg.divisions[service] = found
     if found.targets:
         return found
     return shards.divide(
--- a/copperloom/decisions/shards.py
+++ b/copperloom/decisions/shards.py
@@ -1,15 +1,16 @@
-"""Divides the targets of a service into shards, and names their owners.
-
-Made for hundreds of instances before hundreds of targets. Where each instance
-tells every other what it has in progress, a request costs a message to each,
-and summing what was heard costs more than placing. So each shard of targets
-has a few owners: they hear of the work there, and place for all others.
-
-A shard is the targets of one data centre: that is near, and what is told of
-it stays there. Data centres with few targets join one that has more, since
-reading a long prompt takes several engines. Where data centres are near each
-other all targets are one shard, as long as one owner can place for all: at a
-peak of long prompts more engines to choose from are worth more than the way.
+"""Divides the targets of a service into shards, and ranks their owners.
+
+If every instance sent its work in progress to every other, each request would
+cost one message per instance. In a large fleet, each shard of targets has a
+few owners instead: they receive the updates on work there, and place requests
+for all other instances.
+
+A shard is usually the targets of one data centre, which keeps its updates
+local. Data centres with few targets join one that has more, since the prefill
+of a long prompt takes several engines. Where latency between the data centres
+is low, all targets form one shard, as long as a single owner can place for
+all: under many long prompts a larger choice of engines outweighs the network
+delay.
 """
 
 import dataclasses
@@ -33,29 +34,30 @@
     "targets_in",
 ]
 
-# Instances that hear of the work of a shard. One places for all; the next ones
-# know what it knows, should it stop, freeze or be cut off.
+# Instances that receive the updates of a shard. The first one places requests;
+# the others can replace it if it stops, freezes or is partitioned.
 OWNERS = 3
-# Up to so many instances all hear of all work, and each places for itself: a
-# message to each costs less than asking another.
+# Up to this many instances, each receives all updates and places its own
+# requests: that costs less than a placement query per request.
 MAX_SMALL_FLEET = 16
-# Targets that make up a shard of their own: fewer engines can't read the
-# longest prompts in time.
+# Fewer engines could not prefill the longest prompts within the latency
+# objective.
 MIN_SHARD_TARGETS = 8
-# Most targets that are one shard though they stand in several data centres.
+# Maximum number of targets in a shard that spans data centres.
 MAX_COMBINED_TARGETS = 100
-# Data centres no farther than this from each other are near: two ways and a
-# placement are well below an owner's patience.
+# Up to this one-way delay between data centres, the round trip of a placement
+# query is well below its timeout.
 LOW_LATENCY_S = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shard:
-    """Targets of a service that are placed on together.
+    """Targets of a service on which the same owners place requests.
 
     Attributes:
         service: Name of the service.
-        data_centre: Where they stand; "" for all targets of the service.
+        data_centre: Data centre of the targets; "" for all targets of the
+            service.
     """
 
     service: str
@@ -80,7 +82,7 @@
     """The targets of a service by shard.
 
     Attributes:
-        targets: All of them.
+        targets: All targets.
         large: Data centres that have a shard of their own.
         by_shard: Targets by the data centre of their shard.
     """
@@ -91,12 +93,12 @@
 
 
 def has_low_latency(engine: routing.EngineSpec | None) -> bool:
-    """Tells whether a service's data centres are stated to be near."""
+    """Returns whether the stated delay between a service's engines is low."""
     return engine is not None and engine.most_delay_s <= LOW_LATENCY_S
 
 
 def has_owners(instances: int) -> bool:
-    """Tells whether a fleet of this size has owners."""
+    """Returns whether a fleet of this size has shard owners."""
     return instances > MAX_SMALL_FLEET
 
 
@@ -105,19 +107,21 @@
 ) -> Division:
     """Divides the targets of a service by data centre.
 
-    Its cost grows with the targets, so it is done once for each change of
-    them and not for each request.
+    Its cost grows with the number of targets, so callers cache the result
+    until the targets change.
 
     Args:
         targets: The targets.
-        low_latency: Whether all data centres are near each other.
+        low_latency: Whether latency between all data centres is low.
     """
-    together = low_latency and len(targets) <= MAX_COMBINED_TARGETS
-    large = [] if together else _large(_counts(targets))
-    joined = {dc: _joined(dc, large) for dc in _counts(targets)}
+    combined = low_latency and len(targets) <= MAX_COMBINED_TARGETS
+    large = [] if combined else _large_data_centres(_target_counts(targets))
+    shard_of = {
+        dc: _shard_data_centre(dc, large) for dc in _target_counts(targets)
+    }
     by_shard: dict[str, list[routing.TargetEntry]] = {}
     for target in targets:
-        by_shard.setdefault(joined[target.data_centre], []).append(target)
+        by_shard.setdefault(shard_of[target.data_centre], []).append(target)
     return Division(targets, tuple(large), by_shard)
 
 
@@ -126,33 +130,33 @@
 
     Args:
         service: Name of the service.
-        division: Its usable targets.
-        data_centre: Where the instance stands.
+        division: The usable targets of the service.
+        data_centre: Data centre of the instance.
     """
-    return Shard(service, _joined(data_centre, division.large))
+    return Shard(service, _shard_data_centre(data_centre, division.large))
 
 
 def targets_in(shard: Shard, division: Division) -> list[routing.TargetEntry]:
-    """Lists the targets of a shard; all of them if it has none."""
+    """Returns the targets of a shard, or all targets if the shard has none."""
     if not shard.data_centre:
         return division.targets
     return division.by_shard.get(shard.data_centre) or division.targets
 
 
 def rank(key: str, instances: Iterable[Instance]) -> list[str]:
-    """Orders instances by who owns what the key names.
+    """Ranks instances as owners of a key.
 
-    All that know the same instances find the same order without a
-    word between them, and one more or less changes nothing for the others
-    (rendezvous hashing). Those with more processor time go first: an owner
-    does the placing of dozens.
+    Uses rendezvous hashing: instances that know the same candidates compute
+    the same ranking without communication, and adding or removing one keeps
+    the order of the others. Instances with more processor time come first,
+    since an owner places the requests of many others.
 
     Args:
-        key: Names what is owned.
-        instances: Those that may own it.
+        key: Name of what is owned.
+        instances: The candidates.
 
     Returns:
-        Their names.
+        Names of the instances, the first owner first.
     """
     ordered = sorted(
         instances,
@@ -164,19 +168,19 @@
     return [i.name for i in ordered]
 
 
-def _counts(targets: Iterable[routing.TargetEntry]) -> dict[str, int]:
+def _target_counts(targets: Iterable[routing.TargetEntry]) -> dict[str, int]:
     counts: dict[str, int] = {}
     for target in targets:
         counts[target.data_centre] = counts.get(target.data_centre, 0) + 1
     return counts
 
 
-def _large(counts: Mapping[str, int]) -> list[str]:
+def _large_data_centres(counts: Mapping[str, int]) -> list[str]:
     return [dc for dc, count in counts.items() if count >= MIN_SHARD_TARGETS]
 
 
-def _joined(data_centre: str, large: Sequence[str]) -> str:
-    """Returns the data centre whose shard one belongs to."""
+def _shard_data_centre(data_centre: str, large: Sequence[str]) -> str:
+    """Returns the data centre whose shard the given one belongs to."""
     if not large or data_centre in large:
         return data_centre if large else ""
     return max(
