--- a/copperloom/decisions/budget.py
+++ b/copperloom/decisions/budget.py
@@ -1,11 +1,10 @@
-"""The budget of repeats, which all instances share.
-
-Made for a target or fleet that fails: each failure that is sent once more adds
-load just when capacity is gone. All instances together may repeat a ratio of
-their requests and a fixed number besides in each window. Nobody counts for
-all of them, so each spends only the ratio of its own requests and an equal
-part of the fixed number: the sum then stays within the bound without a word
-between them, also while they can't hear each other.
+"""The retry budget that all instances share.
+
+Retries add load just when capacity is lost. In each window, all instances
+together may retry a ratio of their requests plus a fixed number. Each instance
+spends the ratio of its own requests and an equal share of the fixed number, so
+the total stays within the bound without coordination, also during a network
+partition.
 """
 
 import collections
@@ -13,7 +12,8 @@
 
 __all__ = ["Budget", "BudgetPolicy", "left", "record_request", "spend"]
 
-# Instances that are not known of also spend; and windows are not aligned.
+# Leaves a margin for instances that are not known yet, and for windows that
+# are not aligned.
 SAFE_SHARE = 0.7
 
 
@@ -22,9 +22,9 @@
     """The bound for all instances together.
 
     Attributes:
-        ratio: Repeats for each request.
-        window_s: The window.
-        slack: Repeats in a window besides.
+        ratio: Retries per request.
+        window_s: Length of the window, in seconds.
+        slack: Fixed number of retries per window, in addition to the ratio.
     """
 
     ratio: float
@@ -33,18 +33,18 @@
 
 
 class Budget:
-    """What one instance has spent, by service.
+    """Requests and retries of one instance, by service.
 
     Attributes:
         terms: The bound.
         requests: Monotonic times of requests, by service.
-        repeats: Monotonic times of repeats, by service.
+        retries: Monotonic times of retries, by service.
     """
 
     def __init__(self, terms: BudgetPolicy):
         self.terms = terms
         self.requests: dict[str, collections.deque[float]] = {}
-        self.repeats: dict[str, collections.deque[float]] = {}
+        self.retries: dict[str, collections.deque[float]] = {}
 
 
 def record_request(budget: Budget, service: str, now: float) -> None:
@@ -53,34 +53,34 @@
 
 
 def spend(budget: Budget, service: str, now: float, members: int) -> bool:
-    """Takes one repeat from the budget.
+    """Takes one retry from the budget.
 
     Args:
         budget: The budget.
-        service: Service that the repeat would go to.
+        service: Service that the retry would go to.
         now: Monotonic time.
         members: Instances that share the budget, this one included.
 
     Returns:
-        Whether the repeat may be sent.
+        Whether the retry may be sent.
     """
     if left(budget, service, now, members) < 1:
         return False
-    budget.repeats[service].append(now)
+    budget.retries[service].append(now)
     return True
 
 
 def left(budget: Budget, service: str, now: float, members: int) -> float:
-    """Returns how many repeats may still be sent; arguments as of `spend`."""
+    """Returns how many retries are left; the arguments are as in `spend`."""
     requests = _recent(budget, budget.requests, service, now)
-    repeats = _recent(budget, budget.repeats, service, now)
+    retries = _recent(budget, budget.retries, service, now)
     own = budget.terms.ratio * len(requests)
     shared = budget.terms.slack * SAFE_SHARE / max(1, members)
-    return own + shared - len(repeats)
+    return own + shared - len(retries)
 
 
 def _recent(budget, times, service, now) -> collections.deque[float]:
-    kept = times.setdefault(service, collections.deque())
-    while kept and now - kept[0] > budget.terms.window_s:
-        kept.popleft()
-    return kept
+    recent = times.setdefault(service, collections.deque())
+    while recent and now - recent[0] > budget.terms.window_s:
+        recent.popleft()
+    return recent
--- a/copperloom/decisions/health.py
+++ b/copperloom/decisions/health.py
@@ -1,11 +1,10 @@
-"""Which targets have failed of late, and how much that counts against them.
-
-Made for a target that fails a part of its requests while it calls itself
-healthy, or hangs: with nothing in progress it looks like the best one and
-draws requests that fail. Each failure adds a penalty to its cost that halves
-every few seconds; a target is never shut out for good, because a fault that
-hits many targets at once would leave none, and because only new requests show
-that it works again.
+"""Penalties for targets that failed recently.
+
+A target that fails quickly or hangs while it reports itself healthy has little
+work in progress, so it looks like the best choice and attracts requests that
+fail. Each failure adds a penalty to its cost, which decays exponentially. A
+target is never excluded for good, because a fault may hit many targets at
+once, and because only new requests show that a target has recovered.
 """
 
 import dataclasses
@@ -22,26 +21,26 @@
     "penalties_to_share",
 ]
 
-# Half of a penalty is forgotten in this time: a fault that lasts is found
-# again by one request in about three half-lives.
+# A penalty halves in this time. It bounds how often a persistent fault is
+# probed by a request.
 HALF_LIFE_S = 3.0
-# A target that could not be reached works for nobody; one that answered with
-# a failure works for some.
+# An unreachable target fails all requests; one that responds with an error may
+# serve some.
 UNREACHABLE = 3.0
 BROKEN = 1.0
-# One that writes slowly makes all that come late.
+# Slow decoding makes all requests on the target miss their objectives.
 SLOW = 2.0
-# An answer takes away this share: two in a row clear most of a failure.
-SUCCESS_FACTOR = 0.6
+# Share of the penalty that a successful response removes.
+SUCCESS_REDUCTION = 0.6
 MAX_PENALTY = 12.0
-# Penalties from here on are told to peers: two failures within some seconds,
-# or one of a kind that hits all callers.
+# Minimum penalty that is shared with peers: a single error response decays
+# below it at once.
 MIN_SHARED_PENALTY = 1.0
-# Those from here on are reported to owners, which place for their peers: a
-# failure that each peer met once only shows when they are added up.
+# Minimum penalty that is reported to owners. It is lower, since owners add up
+# the reports: a fault that each peer met once shows only in the sum.
 MIN_REPORTED_PENALTY = 0.2
-# What a peer saw counts for less than what was seen here: a fault may be that
-# of the peer's network, or hit only callers of its data centre.
+# A peer's observations count for less than own ones: the fault may lie in the
+# peer's network, or affect only its data centre.
 PEER_DISCOUNT = 0.7
 
 
@@ -50,8 +49,8 @@
     """The penalty of one target.
 
     Attributes:
-        points: Penalty at `at`.
-        at: Monotonic time.
+        points: The penalty as of `at`.
+        at: Monotonic time of the last update.
     """
 
     points: float = 0.0
@@ -59,78 +58,82 @@
 
 
 def penalty(known: Health | None, now: float) -> float:
-    """Returns the penalty now; 0 for a target without failures."""
+    """Returns the current penalty; 0 for a target without failures."""
     if known is None or not known.points:
         return 0.0
     return known.points * 0.5 ** ((now - known.at) / HALF_LIFE_S)
 
 
 def record_failure(known: Health, now: float, points: float = BROKEN) -> None:
-    """Notes a failure."""
+    """Adds the penalty of a failure."""
     known.points = min(MAX_PENALTY, penalty(known, now) + points)
     known.at = now
 
 
 def record_success(known: Health, now: float) -> None:
-    """Notes an answer."""
-    known.points = penalty(known, now) * (1.0 - SUCCESS_FACTOR)
+    """Reduces the penalty after a successful response."""
+    known.points = penalty(known, now) * (1.0 - SUCCESS_REDUCTION)
     known.at = now
 
 
-def penalties_to_share(seen: dict[str, Health], now: float) -> dict[str, float]:
-    """Returns the penalties by target that peers should know of.
+def penalties_to_share(
+    observed: dict[str, Health], now: float
+) -> dict[str, float]:
+    """Returns the penalties by target to share with peers.
 
-    Only what was seen here is told, never what was heard: a rumour would
-    otherwise keep itself alive.
+    Only own observations are shared: forwarded ones would circulate between
+    peers and never decay.
     """
-    points = {name: penalty(known, now) for name, known in seen.items()}
+    points = {name: penalty(known, now) for name, known in observed.items()}
     return {name: p for name, p in points.items() if p >= MIN_SHARED_PENALTY}
 
 
 def apply_peer_penalties(
-    heard: dict[str, Health], told: dict[str, float], now: float
+    from_peers: dict[str, Health], penalties: dict[str, float], now: float
 ) -> None:
-    """Takes over penalties that a peer tells; the worst word counts."""
-    for name, points in told.items():
-        known = heard.setdefault(name, Health())
+    """Applies penalties shared by a peer; the highest one counts."""
+    for name, points in penalties.items():
+        known = from_peers.setdefault(name, Health())
         known.points = max(
             penalty(known, now), min(MAX_PENALTY, points * PEER_DISCOUNT)
         )
         known.at = now
 
 
-def failures_to_report(seen: dict[str, Health], now: float) -> dict[str, float]:
-    """Returns the penalties by target that owners should know of."""
-    points = {name: penalty(known, now) for name, known in seen.items()}
+def failures_to_report(
+    observed: dict[str, Health], now: float
+) -> dict[str, float]:
+    """Returns the penalties by target to report to owners."""
+    points = {name: penalty(known, now) for name, known in observed.items()}
     return {name: p for name, p in points.items() if p >= MIN_REPORTED_PENALTY}
 
 
 def apply_report(
     reports: dict[str, dict[str, Health]],
     peer: str,
-    told: dict[str, float],
+    penalties: dict[str, float],
     now: float,
 ) -> None:
-    """Takes over what a peer has met, in place of what it reported before.
+    """Replaces a peer's previous report.
 
     Args:
         reports: Penalties by target and peer.
-        peer: The peer.
-        told: Its penalties by target.
+        peer: Name of the peer.
+        penalties: Its penalties by target.
         now: Monotonic time.
     """
     for target, by_peer in list(reports.items()):
         by_peer.pop(peer, None)
         if not by_peer:
             del reports[target]
-    for target, points in told.items():
+    for target, points in penalties.items():
         reports.setdefault(target, {})[peer] = Health(points, now)
 
 
 def reported_penalty(by_peer: dict[str, Health], now: float) -> float:
-    """Returns the penalty that all peers' reports on a target come to.
+    """Returns the sum of the penalties that peers reported for a target.
 
-    An owner goes by them as if it had met the failures itself.
+    An owner treats them as its own observations, without the discount.
     """
     return min(
         MAX_PENALTY, sum(penalty(known, now) for known in by_peer.values())
--- a/copperloom/decisions/rowlog.py
+++ b/copperloom/decisions/rowlog.py
@@ -1,9 +1,8 @@
-"""The rows of a table as they are, and which changed since a version.
+"""The current rows of a table, and which changed since a version.
 
-Made for a table of some hundred rows that changes often, told on among many
-instances: each difference is a row or two, the whole table tens of kilobytes.
-Sent whole to 76 instances at each change, it filled the links of those that
-had it first.
+Instances pass a frequently changing table on to each other. Sending only the
+changed rows instead of the whole table keeps the uplinks of the first sources
+free.
 """
 
 import dataclasses
@@ -11,19 +10,19 @@
 
 __all__ = ["Difference", "Row", "RowLog", "replace", "since", "update"]
 
-# Rows that are gone are kept to be told of, the latest ones: more than change
-# in the seconds by which an instance may be behind.
-MOST_REMOVED = 1000
+# Number of latest removed rows that are kept, so that differences include
+# them: more than are removed while an instance may lag behind.
+MAX_REMOVED = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """A row.
+    """A row of the table.
 
     Attributes:
         key: Its key.
-        version: The version that wrote or removed it.
-        value: Its bytes; None if it is gone.
+        version: The table's version that wrote or removed it.
+        value: Its content; None if it was removed.
     """
 
     key: str
@@ -33,12 +32,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """What has changed since a version.
+    """The changes since a version.
 
     Attributes:
-        whole: Whether these are all rows there are, because what changed is
-            not known any more.
-        rows: The rows.
+        whole: Whether `rows` is the whole table, because the changes since
+            that version are no longer known.
+        rows: The changed rows, or all rows.
     """
 
     whole: bool
@@ -49,7 +48,7 @@
     """The rows by key.
 
     Attributes:
-        rows: All rows, those that are gone included.
+        rows: All rows, including removed ones.
         floor: Version since which all changes are known.
     """
 
@@ -59,22 +58,22 @@
 
 
 def replace(log: RowLog, rows: Iterable[Row], version: int) -> None:
-    """Takes over the whole table as of a version."""
+    """Adopts the whole table as of a version."""
     log.rows = {row.key: row for row in rows}
     log.floor = version
 
 
 def update(log: RowLog, rows: Iterable[Row]) -> None:
-    """Takes over changed rows; a row older than the known one is left out."""
+    """Applies changed rows; a row older than the known one is ignored."""
     for row in rows:
         known = log.rows.get(row.key)
         if known is None or known.version <= row.version:
             log.rows[row.key] = row
-    _forget_removed(log)
+    _prune_removed(log)
 
 
 def since(log: RowLog, version: int) -> Difference:
-    """Returns what has changed after a version."""
+    """Returns the changes after a version."""
     if version < log.floor:
         live = (row for row in log.rows.values() if row.value is not None)
         return Difference(True, tuple(live))
@@ -82,11 +81,11 @@
     return Difference(False, tuple(newer))
 
 
-def _forget_removed(log: RowLog) -> None:
+def _prune_removed(log: RowLog) -> None:
     removed = [row for row in log.rows.values() if row.value is None]
-    if len(removed) <= MOST_REMOVED:
+    if len(removed) <= MAX_REMOVED:
         return
     removed.sort(key=lambda row: row.version)
-    for row in removed[: len(removed) - MOST_REMOVED]:
+    for row in removed[: len(removed) - MAX_REMOVED]:
         del log.rows[row.key]
         log.floor = max(log.floor, row.version)
--- a/copperloom/decisions/tests/test_rowlog.py
+++ b/copperloom/decisions/tests/test_rowlog.py
@@ -43,10 +43,10 @@
         of them gets the whole table.
         """
         log = _log()
-        gone = rowlog.MOST_REMOVED + 5
+        gone = rowlog.MAX_REMOVED + 5
         for number in range(gone):
             row = rowlog.Row(f"t{number}", number + 1, None)
             rowlog.update(log, [row])
-        self.assertEqual(len(log.rows), rowlog.MOST_REMOVED)
+        self.assertEqual(len(log.rows), rowlog.MAX_REMOVED)
         self.assertTrue(rowlog.since(log, 4).whole)
         self.assertFalse(rowlog.since(log, 5).whole)
