--- a/copperloom/decisions/config_staleness.py
+++ b/copperloom/decisions/config_staleness.py
@@ -1,7 +1,7 @@
-"""Whether an entry may admit work under the configuration that it has.
+"""Whether an instance may admit work under the configuration that it has.
 
-The rule and why two sides of a cut can't disagree stand in
-docs/design/configuration.md.
+The rule, and why the two sides of a network partition cannot disagree, are
+described in docs/design/configuration.md.
 """
 
 import dataclasses
@@ -17,18 +17,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evidence:
-    """What one entry knows about its configuration.
+    """What one instance knows about its configuration.
 
     Attributes:
         loaded: Whether it has adopted any configuration.
         version: The version that it has.
-        confirmed_at: Latest monotonic time at which that version is proved to
-            have been the newest.
-        told_version: Greatest version that any member told of.
-        contacts: Members that answered lately, this one included.
-        members: Members known, this one included.
-        listed: Whether the platform's list has named this entry, and so is
-            new enough to name the others too.
+        confirmed_at: Latest monotonic time at which that version was confirmed
+            to be the newest.
+        told_version: Highest version that any member reported.
+        contacts: Members in recent contact, this one included.
+        members: Known members, this one included.
+        listed: Whether the platform's list names this instance, and so is
+            recent enough to name the others too.
     """
 
     loaded: bool
@@ -46,16 +46,16 @@
 
 
 def has_fleet_view(evidence: Evidence) -> bool:
-    """Returns whether a majority of the members known means anything.
+    """Returns whether a majority of the known members is meaningful.
 
-    An entry that has just started knows nobody and would take itself for the
-    whole fleet, for as long as it is cut off.
+    A partitioned instance that has just started knows no other member and
+    would otherwise consider itself the whole fleet.
     """
     return evidence.contacts > 1 or evidence.listed
 
 
 def in_majority(evidence: Evidence) -> bool:
-    """Returns whether the entry is in contact with more than half of all."""
+    """Returns whether the instance is in contact with a majority."""
     if not has_fleet_view(evidence):
         return False
     return has_majority(evidence.contacts, evidence.members)
@@ -66,21 +66,20 @@
 ) -> str | None:
     """Decides whether new work may be admitted.
 
-    Load: every request asks, so it is a comparison of numbers kept elsewhere.
-    Harm prevented: an entry cut off from the platform and from those who see
-    it would go on under limits, presets or targets that the operators have
-    replaced, and its callers would see a change revert. Limits: confirm_s plus
-    the time of one exchange stays under the promised 12 s; a majority is asked
-    for, since any two majorities share a member that passes a version on, so
-    that a platform that is down for all stops nobody.
+    An instance that is partitioned from the platform and from its peers would
+    go on under limits, presets or targets that the operators have replaced.
+    Contact with a majority is enough while the platform is down for all: any
+    two majorities share a member, which passes a new version on.
 
     Args:
-        evidence: What is known.
-        now: Monotonic seconds.
-        confirm_s: Age up to which a proof alone is enough.
+        evidence: What the instance knows.
+        now: Monotonic time, in seconds.
+        confirm_s: Age in seconds up to which a confirmation is enough without
+            a majority. Together with one exchange it has to stay below the
+            time within which a change takes effect.
 
     Returns:
-        None if it may, else the reason.
+        None if work may be admitted, else the reason for the refusal.
     """
     if not evidence.loaded:
         return "no configuration yet"
@@ -88,13 +87,13 @@
         return None
     if evidence.told_version > evidence.version:
         return (
-            f"version {evidence.told_version} is in force and not fetched yet"
+            f"version {evidence.told_version} is in force but not fetched yet"
         )
     if not has_fleet_view(evidence):
-        return "in contact with nobody and not named in any list of instances"
+        return "no contact with any member, and not in the platform's list"
     if in_majority(evidence):
         return None
     return (
-        f"no proof for {confirm_s:g} s that version {evidence.version} is the "
-        f"newest, in contact with {evidence.contacts} of {evidence.members}"
+        f"not confirmed for {confirm_s:g} s that version {evidence.version} is "
+        f"the newest; in contact with {evidence.contacts} of {evidence.members}"
     )
--- a/copperloom/decisions/ejection.py
+++ b/copperloom/decisions/ejection.py
@@ -1,45 +1,47 @@
-"""Ejection of a failing target, and its slow return.
+"""Ejection of failing targets, and their gradual return.
 
-Made for one target out of many that refuses connections or breaks its streams:
-without it the target, which has nothing in flight, looks like the best one and
-draws requests that all fail. At most a share of a pool is out at once, since a
-fault that hits many targets is rarely the targets' own, and the rest could not
-carry the load.
+A target that refuses connections or breaks its streams has little in flight,
+so it looks like the best choice and attracts requests that fail. At most a
+share of a pool is ejected at once: a fault that hits many targets is rarely
+caused by the targets, and the remaining ones could not carry the load.
 
-A slow target is not ejected: its slowness raises its cost at once and fades
-with time (see `copperloom.decisions.concurrency.slowness`). Ejection by a
-threshold was tried and did harm, see docs/design/decisions.md.
+A slow target is not ejected; its slowness raises its cost instead (see
+`copperloom.decisions.concurrency.slowness` and docs/design/decisions.md).
 """
 
 from copperloom.decisions import load
 
-__all__ = ["eject_failing", "is_out", "succeeded"]
+__all__ = ["is_ejected", "record_failure", "record_success"]
 
-# A full engine refuses now and then and answers in between.
+# A single refusal may only mean that the engine is full.
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 60.0
-# A target that comes back is tried with little, and its limit grows from it.
+MAX_EJECTION_S = 60.0
+# Concurrency limit of a target after its ejection, from which it grows again.
 RETURN_LIMIT = 2.0
-MOST_SHARE_OUT = 0.34
+MAX_EJECTED_SHARE = 0.34
 
 
-def is_out(tgt: load.TargetLoad, now: float) -> bool:
-    """Tells whether the target gets no work now."""
+def is_ejected(tgt: load.TargetLoad, now: float) -> bool:
+    """Returns whether the target is ejected and gets no work."""
     return now < tgt.ejected_until
 
 
-def succeeded(tgt: load.TargetLoad, now: float) -> None:
-    """Notes an answer; a target that answers after its return is healthy."""
+def record_success(tgt: load.TargetLoad, now: float) -> None:
+    """Records a success, which shortens the target's next ejection."""
     tgt.failures = 0
-    if not is_out(tgt, now):
+    if not is_ejected(tgt, now):
         tgt.ejections = max(0, tgt.ejections - 1) if tgt.samples > 0 else 0
 
 
-def eject_failing(
+def record_failure(
     tgt: load.TargetLoad, others: list[load.TargetLoad], now: float
 ) -> bool:
-    """Notes a failure and ejects the target if it fails in a row."""
+    """Records a failure, and ejects the target after several in a row.
+
+    Returns:
+        Whether the target was ejected.
+    """
     tgt.failures += 1
     if tgt.failures < FAILURES_TO_EJECT:
         return False
@@ -49,13 +51,16 @@
 def _eject(
     tgt: load.TargetLoad, others: list[load.TargetLoad], now: float
 ) -> bool:
-    if is_out(tgt, now):
+    if is_ejected(tgt, now):
         return False
-    out = sum(is_out(t, now) for t in others)
-    if out + 1 > max(1, int(len(others) * MOST_SHARE_OUT)) or len(others) < 2:
+    ejected = sum(is_ejected(t, now) for t in others)
+    if (
+        ejected + 1 > max(1, int(len(others) * MAX_EJECTED_SHARE))
+        or len(others) < 2
+    ):
         return False
-    span = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**tgt.ejections)
-    tgt.ejected_until = now + span
+    duration_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**tgt.ejections)
+    tgt.ejected_until = now + duration_s
     tgt.ejections += 1
     tgt.failures = 0
     tgt.samples = 0
--- a/copperloom/decisions/inflight_requests.py
+++ b/copperloom/decisions/inflight_requests.py
@@ -82,7 +82,7 @@
     if tgt is not None:
         if flight.waiting and not flight.long:
             _observe(sched, flight, now, seconds)
-        ejection.succeeded(tgt, now)
+        ejection.record_success(tgt, now)
     retries.earn(sched.budget)
     stay = pool_module.residence(flight.pool, long=flight.long)
     pool_module.learn(stay, flight.cost, seconds)
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -140,7 +140,7 @@
     def free(tgt):
         if tgt.name in avoid or now < tgt.full_until:
             return 0
-        if ejection.is_out(tgt, now):
+        if ejection.is_ejected(tgt, now):
             return 0
         return free_long_tokens(tgt, preset)
 
@@ -217,7 +217,7 @@
 
 
 def _has_room(tgt: load.TargetLoad, need: int, now: float) -> bool:
-    if ejection.is_out(tgt, now):
+    if ejection.is_ejected(tgt, now):
         return False
     if tgt.streams - tgt.long_streams >= tgt.limit:
         return False
--- a/copperloom/decisions/reservation.py
+++ b/copperloom/decisions/reservation.py
@@ -1,9 +1,9 @@
-"""Reservations of engines' KV memory for long work, kept by their owner.
+"""Reservations of engines' KV memory for long work, kept by an owner.
 
-Several entries that place long work on one engine by lagging reports would
-overbook it. One entry, the engine's owner, keeps a `Book`: one writer, so
-that two grants never count the same memory. Which entry owns an engine is
-decided elsewhere.
+Instances that place long work on the same engine by lagging reports would
+overcommit its memory. So a single instance, the engine's owner, keeps a `Book`
+of all reservations, and two grants never count the same memory. Which instance
+owns an engine is decided elsewhere.
 """
 
 import dataclasses
@@ -24,18 +24,18 @@
     "seen",
 ]
 
-# When to ask again if memory is short: about a short prompt's time.
+# Retry interval if memory is short: about the time that a short prompt takes.
 RETRY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """The owner's answer.
+    """The owner's reply to a reservation request.
 
     Attributes:
         granted: Whether the memory is reserved.
         not_owner: Whether the target is not in this book.
-        retry_after_s: When to ask again if it is not granted.
+        retry_after_s: Seconds after which to try again if not granted.
     """
 
     granted: bool
@@ -52,19 +52,19 @@
 @dataclasses.dataclass(slots=True)
 class _Ledger:
     kv_tokens: int
-    most_long_tokens: int
+    max_long_tokens: int
     opens_at: float
     looked: bool = False
     reserved: dict[str, _Reservation] = dataclasses.field(default_factory=dict)
-    account: dict[str, int] = dataclasses.field(default_factory=dict)
+    usage: dict[str, int] = dataclasses.field(default_factory=dict)
     long_streams: set[str] = dataclasses.field(default_factory=set)
 
 
 class Book:
-    """Reservations at the targets that this entry owns.
+    """Reservations at the targets that this instance owns.
 
     Attributes:
-        ledgers: By target.
+        ledgers: Reservations and usage, by target.
     """
 
     def __init__(self):
@@ -81,45 +81,46 @@
 ) -> None:
     """Starts to own a target, or adopts a change of its limits.
 
-    Made for a change of owner while the old one still grants, paused or cut
-    off. The new owner grants nothing until one lifetime of a reservation has
-    passed, when all of the old one's grants are either used, and then in the
-    engine's own account, or have run out; and until it has seen that account.
+    A previous owner that is frozen or partitioned may still grant memory. So a
+    new owner grants nothing until the longest lifetime of a reservation has
+    passed: the previous owner's grants have then either expired or show in the
+    engine's list of streams, which the new owner must have received as well.
 
     Args:
         book: The book.
-        target: The target.
-        kv_tokens: Its KV memory.
-        long_share: Most of it that long work may hold, from 0 to 1.
-        ttl_s: Longest life of a reservation that any entry grants.
-        now: Monotonic seconds.
+        target: Name of the target.
+        kv_tokens: Its KV memory, in tokens.
+        long_share: Maximum share of it for long work, from 0 to 1.
+        ttl_s: Longest lifetime of a reservation that any instance grants, in
+            seconds.
+        now: Monotonic time, in seconds.
     """
-    most = int(kv_tokens * long_share)
+    max_long_tokens = int(kv_tokens * long_share)
     ledger = book.ledgers.get(target)
     if ledger is None:
-        book.ledgers[target] = _Ledger(kv_tokens, most, now + ttl_s)
+        book.ledgers[target] = _Ledger(kv_tokens, max_long_tokens, now + ttl_s)
         return
     ledger.kv_tokens = kv_tokens
-    ledger.most_long_tokens = most
+    ledger.max_long_tokens = max_long_tokens
 
 
 def close_target(book: Book, target: str) -> None:
-    """Stops owning a target; its reservations are forgotten."""
+    """Stops owning a target and drops its reservations."""
     book.ledgers.pop(target, None)
 
 
 def reserve(
     book: Book, target: str, stream: str, tokens: int, ttl_s: float, now: float
 ) -> Grant:
-    """Reserves memory for a stream; safe to repeat.
+    """Reserves memory for a stream; idempotent.
 
     Args:
         book: The book.
-        target: The target.
+        target: Name of the target.
         stream: Name of the stream.
         tokens: KV tokens that it will hold.
-        ttl_s: Seconds until the reservation runs out if it is not renewed.
-        now: Monotonic seconds.
+        ttl_s: Seconds until the reservation expires if it is not renewed.
+        now: Monotonic time, in seconds.
     """
     ledger = book.ledgers.get(target)
     if ledger is None:
@@ -137,9 +138,9 @@
 
 
 def release(book: Book, target: str, streams: Iterable[str]) -> None:
-    """Gives reservations back; unknown ones are passed over.
+    """Releases reservations; unknown streams are ignored.
 
-    The engine's account is not touched: what it still holds is in use.
+    Memory that the engine lists as used still counts.
     """
     ledger = book.ledgers.get(target)
     if ledger is None:
@@ -151,20 +152,20 @@
 def renew(
     book: Book, target: str, stream: str, ttl_s: float, now: float
 ) -> bool:
-    """Prolongs a reservation; False if it is gone."""
+    """Extends a reservation; returns False if it has expired or is unknown."""
     ledger = book.ledgers.get(target)
-    held = ledger.reserved.get(stream) if ledger else None
-    if held is None or held.expires <= now:
+    reservation = ledger.reserved.get(stream) if ledger else None
+    if reservation is None or reservation.expires <= now:
         return False
-    held.expires = max(held.expires, now + ttl_s)
+    reservation.expires = max(reservation.expires, now + ttl_s)
     return True
 
 
 def expire(book: Book, now: float) -> None:
-    """Drops reservations that ran out."""
+    """Drops expired reservations."""
     for ledger in book.ledgers.values():
-        gone = [s for s, r in ledger.reserved.items() if r.expires <= now]
-        for stream in gone:
+        expired = [s for s, r in ledger.reserved.items() if r.expires <= now]
+        for stream in expired:
             del ledger.reserved[stream]
 
 
@@ -176,19 +177,19 @@
     *,
     short_tokens: int = 0,
 ) -> None:
-    """Takes in an engine's own account, which replaces reservations.
+    """Applies an engine's list of its streams and the memory they use.
 
-    A stream in the account counts with the greater of what it holds and what
-    it reserved, as long as that lasts: an engine may fill its memory step by
-    step. A stream that was in the account and is gone has ended, and its
-    reservation goes with it. One that never was there keeps it, since its
-    start may still be on the way.
+    A listed stream counts with the larger of its usage and its reservation, as
+    long as the latter lasts, since an engine may allocate memory step by step.
+    A stream that was listed before and no longer is has ended, which also ends
+    its reservation. A stream that was never listed keeps its reservation, since
+    it may not have reached the engine yet.
 
     Args:
         book: The book.
-        target: The target.
-        streams: The engine's account.
-        now: Monotonic seconds.
+        target: Name of the target.
+        streams: The engine's streams.
+        now: Monotonic time, in seconds.
         short_tokens: Streams up to this many tokens are short work, which
             counts against the memory but not against long work's share.
     """
@@ -196,30 +197,30 @@
     if ledger is None:
         return
     expire(book, now)
-    account = {info.stream: info.kv_tokens for info in streams}
-    for stream in ledger.account:
-        if stream not in account:
+    usage = {info.stream: info.kv_tokens for info in streams}
+    for stream in ledger.usage:
+        if stream not in usage:
             ledger.reserved.pop(stream, None)
-    ledger.account = account
-    ledger.long_streams = {s for s, n in account.items() if n > short_tokens}
+    ledger.usage = usage
+    ledger.long_streams = {s for s, n in usage.items() if n > short_tokens}
     ledger.looked = True
 
 
 def free_tokens(book: Book, target: str) -> int:
-    """Returns the tokens that could be reserved now; 0 if not owned."""
+    """Returns the tokens that can be reserved now; 0 if not the owner."""
     ledger = book.ledgers.get(target)
     return max(0, _free(ledger)) if ledger else 0
 
 
 def _free(ledger: _Ledger) -> int:
     held_long = held = 0
-    for stream, used in ledger.account.items():
+    for stream, used in ledger.usage.items():
         if stream in ledger.reserved:
             continue
         held += used
         held_long += used if stream in ledger.long_streams else 0
     for stream, reserved in ledger.reserved.items():
-        tokens = max(reserved.tokens, ledger.account.get(stream, 0))
+        tokens = max(reserved.tokens, ledger.usage.get(stream, 0))
         held += tokens
         held_long += tokens
-    return min(ledger.most_long_tokens - held_long, ledger.kv_tokens - held)
+    return min(ledger.max_long_tokens - held_long, ledger.kv_tokens - held)
--- a/copperloom/decisions/retries.py
+++ b/copperloom/decisions/retries.py
@@ -1,9 +1,8 @@
-"""Retry budget: a share of recent successes may be spent on retries.
+"""A retry budget that is earned by successful requests.
 
-Made for a target that dies, or a fleet that is full: without a bound each
-failure adds a request to those that fail, and the load grows just when
-capacity shrinks. One retry per ten successes adds at most a tenth; the floor
-lets a quiet entry retry at all.
+Without a bound, each failure adds a request to those that fail, and the load
+grows just when capacity shrinks. The initial budget lets an instance with few
+requests retry at all.
 """
 
 import dataclasses
@@ -11,7 +10,7 @@
 __all__ = ["Budget", "earn", "spend"]
 
 EARN_PER_SUCCESS = 0.1
-MOST = 20.0
+MAX_RETRIES = 20.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,16 +21,16 @@
         left: Retries left.
     """
 
-    left: float = MOST
+    left: float = MAX_RETRIES
 
 
 def earn(budget: Budget) -> None:
-    """Counts a success."""
-    budget.left = min(MOST, budget.left + EARN_PER_SUCCESS)
+    """Adds the retries earned by a successful request."""
+    budget.left = min(MAX_RETRIES, budget.left + EARN_PER_SUCCESS)
 
 
 def spend(budget: Budget) -> bool:
-    """Takes one retry from the budget; False if none is left."""
+    """Takes one retry from the budget; returns False if none is left."""
     if budget.left < 1.0:
         return False
     budget.left -= 1.0
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -229,7 +229,7 @@
     if tgt is not None and sched.uses("ejection"):
         pools = [p for p in sched.pools.values() if target in p.by_name]
         others = max((p.targets for p in pools), key=len, default=[])
-        ejection.eject_failing(tgt, others, now)
+        ejection.record_failure(tgt, others, now)
 
 
 def next_wake(sched: Scheduler, now: float) -> float | None:
--- a/copperloom/decisions/target_drain.py
+++ b/copperloom/decisions/target_drain.py
@@ -1,10 +1,10 @@
-"""Which targets leave, though the signs of it come late and contradict.
+"""Which targets are draining, from reports that lag and contradict.
 
-A target may be named as leaving by the operators' configuration, by the
-platform's list, by its own load report or by a peer. The first sign counts
-and stays, since the platform's list lags: a view that is older than the sign
-shows the target as healthy again. Only an admission by a later version of the
-configuration ends it, which every entry learns in the same order.
+A target may be reported as draining by the operators' configuration, by the
+platform's list, by its own load report or by a peer. The first report counts
+and is kept, since the platform's list lags and may show the target as healthy
+again. Only an admission by a later version of the configuration ends it:
+all instances learn the versions in the same order.
 """
 
 import dataclasses
@@ -21,8 +21,8 @@
     "is_superseded",
 ]
 
-# Longer than the platform's list and an engine's load report lag. Within this
-# time after an admission their signs may be older than the admission.
+# Upper bound of the lag of the platform's list and of load reports. Within this
+# time after an admission, their reports may be older than the admission.
 LAG_S = 10.0
 
 
@@ -33,110 +33,113 @@
 
 
 class DrainState:
-    """What one entry knows of leaving targets.
+    """What one instance knows of draining targets.
 
     Attributes:
-        marks: Target to the configuration's version under which its leaving
-            was learnt.
-        seen: Targets that lagging sources name now, which holds only as long
-            as they do.
-        admissions: Target to its latest admission and when it was met here.
+        marks: Configuration version under which a target was reported as
+            draining, by target.
+        reported: Targets that lagging sources report now; they count only as
+            long as they are reported.
+        admissions: Latest admission by target, and when it was learnt.
     """
 
     def __init__(self):
         self.marks: dict[str, int] = {}
-        self.seen: frozenset[str] = frozenset()
+        self.reported: frozenset[str] = frozenset()
         self.admissions: dict[str, _Admission] = {}
 
 
-def mark_draining(dep: DrainState, target: str, version: int) -> None:
-    """Takes in a sign that was learnt under a version, such as a peer's."""
-    dep.marks[target] = max(version, dep.marks.get(target, 0))
+def mark_draining(drain: DrainState, target: str, version: int) -> None:
+    """Records a report under a configuration version, such as a peer's."""
+    drain.marks[target] = max(version, drain.marks.get(target, 0))
 
 
 def observe(
-    dep: DrainState,
+    drain: DrainState,
     names: frozenset[str],
     cfg: configuration.Configuration,
     now: float,
 ) -> None:
-    """Takes in the targets that the lagging sources name as leaving now.
+    """Records the targets that lagging sources now report as draining.
 
     Args:
-        dep: The state.
-        names: Targets that the platform's list or their own reports name.
+        drain: The state.
+        names: Targets that the platform's list or their own load reports name.
         cfg: The configuration in force.
-        now: Monotonic seconds.
+        now: Monotonic time, in seconds.
     """
-    _note_admissions(dep, cfg, now)
-    dep.seen = names
+    _record_admissions(drain, cfg, now)
+    drain.reported = names
     for name in names:
-        admission = dep.admissions.get(name)
+        admission = drain.admissions.get(name)
         if admission is None or now - admission.at > LAG_S:
-            mark_draining(dep, name, cfg.version)
+            mark_draining(drain, name, cfg.version)
 
 
 def draining_targets(
-    dep: DrainState, cfg: configuration.Configuration
+    drain: DrainState, cfg: configuration.Configuration
 ) -> frozenset[str]:
     """Returns the targets that get no new work.
 
-    Load: asked when a sign or a version comes, not for each request. Harm
-    prevented: work sent to a target that is about to go is cut or lost.
+    Work sent to a target that is about to stop would be cut off or lost.
     """
     retired = {
         tgt.name
         for tgt in cfg.targets.values()
         if tgt.state is configuration.TargetState.RETIRED
     }
-    return frozenset(retired) | dep.seen | frozenset(drain_marks(dep, cfg))
+    return (
+        frozenset(retired) | drain.reported | frozenset(drain_marks(drain, cfg))
+    )
 
 
 def drain_marks(
-    dep: DrainState, cfg: configuration.Configuration
+    drain: DrainState, cfg: configuration.Configuration
 ) -> dict[str, int]:
-    """Returns the marks that no later admission ended."""
+    """Returns the marks that no later admission has ended."""
     return {
         name: version
-        for name, version in dep.marks.items()
-        if version >= _admitted(cfg, name)
+        for name, version in drain.marks.items()
+        if version >= _admitted_version(cfg, name)
     }
 
 
-def is_superseded(dep: DrainState, target: str, at: float, now: float) -> bool:
-    """Returns whether a sign of some time is overtaken by an admission.
+def is_superseded(
+    drain: DrainState, target: str, at: float, now: float
+) -> bool:
+    """Returns whether an admission supersedes a report received at a time.
 
-    A sign that came within the lag after an admission may be older than it;
-    once the lag is over it has to be given again to count.
+    A report received within LAG_S after an admission may be older than the
+    admission; after that time it counts only if it is repeated.
     """
-    admission = dep.admissions.get(target)
+    admission = drain.admissions.get(target)
     if admission is None:
         return False
     return at <= admission.at + LAG_S < now
 
 
-def prune(dep: DrainState, cfg: configuration.Configuration) -> None:
-    """Forgets marks that are over, so that they don't gather for ever."""
-    dep.marks = {
+def prune(drain: DrainState, cfg: configuration.Configuration) -> None:
+    """Removes marks that have ended, so that they do not accumulate."""
+    drain.marks = {
         name: version
-        for name, version in drain_marks(dep, cfg).items()
+        for name, version in drain_marks(drain, cfg).items()
         if name in cfg.targets or version >= cfg.version
     }
-    for name in dep.admissions.keys() - cfg.targets.keys():
-        del dep.admissions[name]
+    for name in drain.admissions.keys() - cfg.targets.keys():
+        del drain.admissions[name]
 
 
-def _admitted(cfg: configuration.Configuration, name: str) -> int:
+def _admitted_version(cfg: configuration.Configuration, name: str) -> int:
     tgt = cfg.targets.get(name)
     return tgt.admitted_version if tgt else 0
 
 
-def _note_admissions(dep, cfg, now) -> None:
+def _record_admissions(drain, cfg, now) -> None:
     for tgt in cfg.targets.values():
-        known = dep.admissions.get(tgt.name)
+        known = drain.admissions.get(tgt.name)
         if known is None:
-            # Met for the first time: signs about it are as good as any.
-            met = _Admission(tgt.admitted_version, float("-inf"))
-            dep.admissions[tgt.name] = met
+            # Not known to be recent, so it does not delay reports.
+            first = _Admission(tgt.admitted_version, float("-inf"))
+            drain.admissions[tgt.name] = first
         elif known.version < tgt.admitted_version:
-            dep.admissions[tgt.name] = _Admission(tgt.admitted_version, now)
+            drain.admissions[tgt.name] = _Admission(tgt.admitted_version, now)
--- a/copperloom/decisions/tests/test_target_drain.py
+++ b/copperloom/decisions/tests/test_target_drain.py
@@ -1,4 +1,4 @@
-"""Signs that targets leave, late and against each other."""
+"""Reports of draining targets that lag and contradict each other."""
 
 import unittest
 
@@ -19,48 +19,48 @@
     return configuration.Configuration(version=version, targets={"t": tgt})
 
 
-class DeparturesTest(unittest.TestCase):
+class TargetDrainTest(unittest.TestCase):
     def setUp(self):
-        self.dep = target_drain.DrainState()
+        self.drain = target_drain.DrainState()
 
-    def see(self, names, cfg, now):
-        target_drain.observe(self.dep, names, cfg, now)
-        return target_drain.draining_targets(self.dep, cfg)
+    def observe(self, names, cfg, now):
+        target_drain.observe(self.drain, names, cfg, now)
+        return target_drain.draining_targets(self.drain, cfg)
 
-    def test_retired_by_the_operators(self):
-        self.assertEqual(self.see(_NONE, _cfg(2, state="retired"), 0.0), _T)
+    def test_target_retired_by_the_operators_is_draining(self):
+        self.assertEqual(self.observe(_NONE, _cfg(2, state="retired"), 0.0), _T)
 
-    def test_first_sign_stays_though_the_list_falls_back(self):
-        self.assertEqual(self.see(_T, _cfg(1), 0.0), _T)
-        self.assertEqual(self.see(_NONE, _cfg(1), 1.0), _T)
+    def test_first_report_is_kept_when_the_list_lags(self):
+        self.assertEqual(self.observe(_T, _cfg(1), 0.0), _T)
+        self.assertEqual(self.observe(_NONE, _cfg(1), 1.0), _T)
 
-    def test_admission_by_a_later_version_ends_it(self):
-        self.see(_T, _cfg(1), 0.0)
-        self.assertEqual(self.see(_NONE, _cfg(2, admitted=2), 1.0), _NONE)
+    def test_admission_by_a_later_version_ends_the_drain(self):
+        self.observe(_T, _cfg(1), 0.0)
+        self.assertEqual(self.observe(_NONE, _cfg(2, admitted=2), 1.0), _NONE)
 
-    def test_late_peer_can_not_bring_an_ended_departure_back(self):
-        """A peer that missed the admission still tells of the departure."""
-        self.see(_NONE, _cfg(2, admitted=2), 0.0)
-        target_drain.mark_draining(self.dep, "t", 1)
-        self.assertEqual(self.see(_NONE, _cfg(2, admitted=2), 1.0), _NONE)
-        target_drain.mark_draining(self.dep, "t", 2)
-        self.assertEqual(self.see(_NONE, _cfg(2, admitted=2), 1.0), _T)
+    def test_delayed_peer_report_does_not_revive_an_ended_drain(self):
+        """A peer that missed the admission still reports the old drain."""
+        self.observe(_NONE, _cfg(2, admitted=2), 0.0)
+        target_drain.mark_draining(self.drain, "t", 1)
+        self.assertEqual(self.observe(_NONE, _cfg(2, admitted=2), 1.0), _NONE)
+        target_drain.mark_draining(self.drain, "t", 2)
+        self.assertEqual(self.observe(_NONE, _cfg(2, admitted=2), 1.0), _T)
 
-    def test_old_view_right_after_an_admission_does_not_stay(self):
-        """The list lags behind the operators' admission by some seconds.
+    def test_stale_report_right_after_an_admission_is_not_kept(self):
+        """A lagging list must not drain an admitted target for good.
 
-        While it still names the target, no work is sent. Once it is up to
-        date the target must come back without another admission.
+        The target gets no work while the list names it, and returns without
+        another admission once the list is up to date.
         """
-        self.see(_T, _cfg(1), 0.0)
+        self.observe(_T, _cfg(1), 0.0)
         admitted = _cfg(2, admitted=2)
-        self.assertEqual(self.see(_T, admitted, 1.0), _T)
-        self.assertEqual(self.see(_NONE, admitted, 2.0), _NONE)
-        late = 1.0 + target_drain.LAG_S + 0.1
-        self.see(_T, admitted, late)
-        self.assertEqual(self.see(_NONE, admitted, late + 1.0), _T)
+        self.assertEqual(self.observe(_T, admitted, 1.0), _T)
+        self.assertEqual(self.observe(_NONE, admitted, 2.0), _NONE)
+        after_lag = 1.0 + target_drain.LAG_S + 0.1
+        self.observe(_T, admitted, after_lag)
+        self.assertEqual(self.observe(_NONE, admitted, after_lag + 1.0), _T)
 
-    def test_ended_marks_are_forgotten(self):
-        self.see(_T, _cfg(1), 0.0)
-        target_drain.prune(self.dep, _cfg(2, admitted=2))
-        self.assertEqual(self.dep.marks, {})
+    def test_ended_marks_are_pruned(self):
+        self.observe(_T, _cfg(1), 0.0)
+        target_drain.prune(self.drain, _cfg(2, admitted=2))
+        self.assertEqual(self.drain.marks, {})
