--- a/copperloom/chains.py
+++ b/copperloom/chains.py
@@ -1,14 +1,14 @@
-"""Passes a request through a list of filters, the first outermost.
+"""Runs a chain of filters around an exchange, the first one outermost.
 
-A filter is a coroutine function of the exchange and of what follows; it calls
-what follows once, or not at all if the request ends there.
+A filter is a coroutine function that takes the exchange and the rest of the
+chain. It awaits the rest once, or not at all if it ends the request itself.
 """
 
 __all__ = ["run"]
 
 
 async def run(chain, ex) -> None:
-    """Passes an exchange through the filters of a chain."""
+    """Runs the filters of a chain on an exchange."""
     await _call(chain, 0, ex)
 
 
--- a/copperloom/decisions/tests/test_health.py
+++ b/copperloom/decisions/tests/test_health.py
@@ -1,58 +1,57 @@
-"""What one instance sees of a target's failures, the others go by too."""
+"""Penalties for failing targets, and their exchange between instances."""
 
 import unittest
 
 from copperloom.decisions import health
 
 
-class HearsayTest(unittest.TestCase):
-    def test_failure_is_told_and_fades(self):
-        """One instance's caller meets a slow target.
+class PeerPenaltyTest(unittest.TestCase):
+    def test_failure_is_shared_and_decays(self):
+        """Peers must avoid a slow target before their own requests meet it.
 
-        The others hear of it before theirs do; the word fades as a failure
-        seen by themselves would.
+        A shared penalty decays like one from an own observation.
         """
-        seen = {"t": health.Health()}
-        health.record_failure(seen["t"], 10.0, health.SLOW)
-        told = health.penalties_to_share(seen, 10.0)
-        heard: dict[str, health.Health] = {}
-        health.apply_peer_penalties(heard, told, 10.0)
-        first = health.penalty(heard["t"], 10.0)
+        observed = {"t": health.Health()}
+        health.record_failure(observed["t"], 10.0, health.SLOW)
+        penalties = health.penalties_to_share(observed, 10.0)
+        from_peers: dict[str, health.Health] = {}
+        health.apply_peer_penalties(from_peers, penalties, 10.0)
+        first = health.penalty(from_peers["t"], 10.0)
         self.assertAlmostEqual(first, health.SLOW * health.PEER_DISCOUNT)
-        later = health.penalty(heard["t"], 10.0 + health.HALF_LIFE_S)
+        later = health.penalty(from_peers["t"], 10.0 + health.HALF_LIFE_S)
         self.assertAlmostEqual(later, first / 2)
 
-    def test_many_peers_that_tell_the_same_count_once(self):
-        heard: dict[str, health.Health] = {}
+    def test_equal_penalties_of_many_peers_count_once(self):
+        from_peers: dict[str, health.Health] = {}
         for _ in range(50):
-            health.apply_peer_penalties(heard, {"t": 2.0}, 1.0)
+            health.apply_peer_penalties(from_peers, {"t": 2.0}, 1.0)
         self.assertAlmostEqual(
-            health.penalty(heard["t"], 1.0), 2.0 * health.PEER_DISCOUNT
+            health.penalty(from_peers["t"], 1.0), 2.0 * health.PEER_DISCOUNT
         )
 
-    def test_single_failure_is_kept_to_oneself(self):
-        """A target fails a request in a hundred, as sound ones do."""
-        seen = {"t": health.Health()}
-        health.record_failure(seen["t"], 1.0, health.BROKEN)
-        self.assertEqual(health.penalties_to_share(seen, 1.5), {})
+    def test_single_failure_is_not_shared(self):
+        """A healthy target's occasional failure must not deter all peers."""
+        observed = {"t": health.Health()}
+        health.record_failure(observed["t"], 1.0, health.BROKEN)
+        self.assertEqual(health.penalties_to_share(observed, 1.5), {})
 
 
 class ReportTest(unittest.TestCase):
-    def test_failures_that_each_peer_met_once_add_up(self):
-        """A target refuses all; each of many instances meets it once.
+    def test_single_failures_of_several_peers_add_up(self):
+        """A target refuses all requests, but each instance sends it only one.
 
-        Their owner, which sends them there, must see more than one failure.
+        The owner that places them there must see more than one failure.
         """
         reports: dict[str, dict[str, health.Health]] = {}
         for number in range(4):
-            seen = {"t": health.Health()}
-            health.record_failure(seen["t"], 1.0)
-            told = health.failures_to_report(seen, 1.0)
+            observed = {"t": health.Health()}
+            health.record_failure(observed["t"], 1.0)
+            penalties = health.failures_to_report(observed, 1.0)
             for _ in range(3):
-                health.apply_report(reports, f"peer-{number}", told, 1.0)
+                health.apply_report(reports, f"peer-{number}", penalties, 1.0)
         self.assertAlmostEqual(health.reported_penalty(reports["t"], 1.0), 4.0)
 
-    def test_report_is_replaced_and_fades(self):
+    def test_report_is_replaced_and_decays(self):
         reports: dict[str, dict[str, health.Health]] = {}
         health.apply_report(reports, "peer", {"t": 2.0}, 1.0)
         later = 1.0 + health.HALF_LIFE_S
--- a/copperloom/decisions/tests/test_invariants.py
+++ b/copperloom/decisions/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""What holds for any order of events at one scheduler."""
+"""Invariants of a scheduler under any order of events."""
 
 import unittest
 
@@ -17,12 +17,12 @@
                 "offer",
                 "offer",
                 "dispatch",
-                "first",
+                "first_token",
                 "end",
                 "fail",
                 "requeue",
                 "forget",
-                "leave",
+                "drain",
                 "wait",
             ]
         ),
@@ -34,7 +34,7 @@
 
 
 class Model:
-    """One scheduler, and what it has said about each request."""
+    """A scheduler, and the state of each request according to its decisions."""
 
     def __init__(self, policy, disable):
         self.now = 0.0
@@ -43,8 +43,8 @@
         scheduler.set_configuration(self.sched, self.cfg, 0.0)
         self.queued: dict[str, messages.Request] = {}
         self.placed: list[messages.Placement] = []
-        self.over: set[str] = set()
-        self.leaving: frozenset[str] = frozenset()
+        self.ended: set[str] = set()
+        self.draining: frozenset[str] = frozenset()
 
     def offer(self, number):
         tokens = TOKENS[number % len(TOKENS)]
@@ -63,40 +63,42 @@
         if refusal is None:
             self.queued[name] = req
         else:
-            self.refused(refusal)
+            self.record_refusal(refusal)
 
-    def refused(self, refusal):
+    def record_refusal(self, refusal):
         name = refusal.request.id
-        assert name not in self.over
+        assert name not in self.ended
         assert refusal.retry_after_s > 0 or "TooLarge" in refusal.error
         self.queued.pop(name, None)
-        self.over.add(name)
+        self.ended.add(name)
 
     def dispatch(self, number=0):
-        for decided in scheduler.dispatch(self.sched, self.now):
-            assert decided.request.id in self.queued
-            if isinstance(decided, messages.Refusal):
-                self.refused(decided)
+        for decision in scheduler.dispatch(self.sched, self.now):
+            assert decision.request.id in self.queued
+            if isinstance(decision, messages.Refusal):
+                self.record_refusal(decision)
                 continue
-            del self.queued[decided.request.id]
-            assert not self.leaving & set(decided.targets)
-            assert sum(decided.tokens) == (
-                decided.request.prompt_tokens + decided.request.max_tokens
+            del self.queued[decision.request.id]
+            assert not self.draining & set(decision.targets)
+            assert sum(decision.tokens) == (
+                decision.request.prompt_tokens + decision.request.max_tokens
             )
-            self.placed.append(decided)
+            self.placed.append(decision)
 
-    def first(self, number):
+    def first_token(self, number):
         if self.placed:
-            made = self.placed[number % len(self.placed)]
-            scheduler.first_token(self.sched, made, self.now, sent=self.now)
+            placement = self.placed[number % len(self.placed)]
+            scheduler.first_token(
+                self.sched, placement, self.now, sent=self.now
+            )
 
     def end(self, number):
         if self.placed:
-            made = self.placed.pop(number % len(self.placed))
-            self.over.add(made.request.id)
+            placement = self.placed.pop(number % len(self.placed))
+            self.ended.add(placement.request.id)
             for _ in range(2):
                 ok = number % 2 == 0
-                scheduler.finished(self.sched, made, self.now, ok=ok)
+                scheduler.finished(self.sched, placement, self.now, ok=ok)
 
     def fail(self, number):
         scheduler.target_failed(self.sched, f"e{number % 6}", self.now)
@@ -104,24 +106,24 @@
     def requeue(self, number):
         if not self.placed:
             return
-        made = self.placed.pop(number % len(self.placed))
+        placement = self.placed.pop(number % len(self.placed))
         refusal = scheduler.requeue(
-            self.sched, made, self.now, avoid=made.targets[0]
+            self.sched, placement, self.now, avoid=placement.targets[0]
         )
         if refusal is None:
-            self.queued[made.request.id] = made.request
+            self.queued[placement.request.id] = placement.request
         else:
-            self.refused(refusal)
+            self.record_refusal(refusal)
 
     def forget(self, number):
         if self.queued:
             name = sorted(self.queued)[number % len(self.queued)]
             scheduler.forget(self.sched, self.queued.pop(name))
-            self.over.add(name)
+            self.ended.add(name)
 
-    def leave(self, number):
-        self.leaving = frozenset(f"e{i}" for i in range(6) if number >> i & 1)
-        scheduler.set_draining(self.sched, self.leaving, self.now)
+    def drain(self, number):
+        self.draining = frozenset(f"e{i}" for i in range(6) if number >> i & 1)
+        scheduler.set_draining(self.sched, self.draining, self.now)
 
     def wait(self, number):
         self.now += number / 1_000
@@ -134,10 +136,13 @@
         st.frozensets(st.sampled_from(sorted(policies.MECHANISMS)), max_size=2),
     )
     @hypothesis.settings(max_examples=150)
-    def test_each_request_ends_once_and_counts_return(
+    def test_each_request_ends_once_and_counts_return_to_zero(
         self, steps, policy, disable
     ):
-        """Any mix of events; then all deadlines pass and all work ends."""
+        """No request may be lost or counted twice under any mix of events.
+
+        All deadlines pass and all work ends before the check.
+        """
         model = Model(policy, disable)
         for name, number in steps:
             getattr(model, name)(number)
@@ -159,19 +164,19 @@
             self.assertEqual(counts, (0, 0))
             self.assertEqual(tgt.long_prefill_tokens, 0)
 
-    def test_queued_work_does_not_go_to_a_target_that_leaves(self):
-        """Work was queued while both targets were there; then one leaves."""
+    def test_queued_work_is_not_placed_on_a_draining_target(self):
+        """A target may start to drain after the work was queued."""
         model = Model("copperloom", frozenset())
         model.offer(1)
-        model.leave(0b111110)
+        model.drain(0b111110)
         model.dispatch()
         self.assertEqual(model.placed[0].targets, ("e0",))
         model.offer(1)
-        model.leave(0b111111)
+        model.drain(0b111111)
         model.dispatch()
-        self.assertEqual(len(model.over), 1)
+        self.assertEqual(len(model.ended), 1)
 
-    def test_refusals_name_their_reason(self):
+    def test_refusal_names_its_reason(self):
         model = Model("copperloom", frozenset())
         cases = [
             (6_000_000, "PromptTooLargeError"),
@@ -188,15 +193,15 @@
         self.assertEqual(refusal.error, "CapacityExceededError")
 
     def test_retry_budget_bounds_retries(self):
-        """All targets refuse all work for a while; callers are many."""
+        """Retries must not multiply the load while all targets refuse work."""
         model = Model("copperloom", frozenset())
         retried = 0
         for i in range(100):
             req = callers.make_request(f"r{i}", "o", 600, 1, 0.0, 60.0)
             self.assertIsNone(scheduler.offer(model.sched, req, 0.0))
-            for made in scheduler.dispatch(model.sched, 0.0):
+            for placement in scheduler.dispatch(model.sched, 0.0):
                 refusal = scheduler.requeue(
-                    model.sched, made, 0.0, avoid=made.targets[0]
+                    model.sched, placement, 0.0, avoid=placement.targets[0]
                 )
                 retried += refusal is None
         self.assertLessEqual(retried, 20)
--- a/copperloom/decisions/tests/test_reservation.py
+++ b/copperloom/decisions/tests/test_reservation.py
@@ -1,4 +1,4 @@
-"""The owner's book of reservations, organisations' limits, groups."""
+"""Reservations of engine memory, organisations' limits, engine groups."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(
-            ["reserve", "release", "renew", "start", "end", "look"]
+            ["reserve", "release", "renew", "start", "end", "list"]
         ),
         st.integers(0, 5),
         st.integers(1, 700),
@@ -24,7 +24,7 @@
 )
 
 
-def account(streams):
+def stream_infos(streams):
     return [StreamInfo(n, "o", t, True, 0.0) for n, t in streams.items()]
 
 
@@ -32,43 +32,43 @@
     @hypothesis.given(EVENTS)
     @hypothesis.settings(max_examples=150)
     def test_never_overbooks(self, events):
-        """Streams start only while reserved, and hold what they reserved."""
+        """Grants and running streams must fit into long work's share."""
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, TTL_S, 0.0)
         now = TTL_S
         reservation.seen(book, "t", [], now)
         granted: dict[str, tuple[int, float]] = {}
         running: dict[str, int] = {}
-        for what, number, tokens, passed in events:
+        for event, number, tokens, elapsed_s in events:
             name = f"s{number}"
-            now += passed
+            now += elapsed_s
             granted = {n: g for n, g in granted.items() if g[1] > now}
-            if what == "reserve" and name not in running:
-                had = granted.get(name, (tokens, 0.0))[0]
-                grant = reservation.reserve(book, "t", name, had, TTL_S, now)
+            if event == "reserve" and name not in running:
+                needed = granted.get(name, (tokens, 0.0))[0]
+                grant = reservation.reserve(book, "t", name, needed, TTL_S, now)
                 if grant.granted:
-                    granted[name] = (had, now + TTL_S)
-            elif what == "release":
+                    granted[name] = (needed, now + TTL_S)
+            elif event == "release":
                 reservation.release(book, "t", [name])
                 granted.pop(name, None)
-            elif what == "renew":
+            elif event == "renew":
                 if reservation.renew(book, "t", name, TTL_S, now):
                     granted[name] = (granted[name][0], now + TTL_S)
-            elif what == "start" and name in granted:
+            elif event == "start" and name in granted:
                 running[name] = granted[name][0]
-                reservation.seen(book, "t", account(running), now)
-            elif what == "end":
+                reservation.seen(book, "t", stream_infos(running), now)
+            elif event == "end":
                 running.pop(name, None)
             else:
-                reservation.seen(book, "t", account(running), now)
+                reservation.seen(book, "t", stream_infos(running), now)
             held = {n: g[0] for n, g in granted.items()} | running
             self.assertLessEqual(sum(held.values()), 0.9 * KV_TOKENS)
 
-    def test_new_owner_waits_for_the_old_ones_grants(self):
-        """The owner changes while the old one, paused, still grants.
+    def test_new_owner_waits_for_the_previous_owners_grants(self):
+        """A frozen previous owner's grants must not be overbooked.
 
-        Its last grant may be used until it runs out. The new owner grants
-        nothing until then, and not before it has seen the engine's account.
+        The new owner grants nothing until they have expired and it has
+        received the engine's list of streams.
         """
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, TTL_S, 100.0)
@@ -77,14 +77,14 @@
         self.assertAlmostEqual(early.retry_after_s, 9.0)
         unseen = reservation.reserve(book, "t", "a", 10, TTL_S, 111.0)
         self.assertFalse(unseen.granted)
-        reservation.seen(book, "t", account({"old": 850}), 111.0)
+        reservation.seen(book, "t", stream_infos({"old": 850}), 111.0)
         over = reservation.reserve(book, "t", "a", 60, TTL_S, 111.0)
         self.assertFalse(over.granted)
         self.assertTrue(
             reservation.reserve(book, "t", "a", 50, TTL_S, 111.0).granted
         )
 
-    def test_what_is_not_used_runs_out(self):
+    def test_unused_reservation_expires(self):
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, 0.0, 0.0)
         reservation.seen(book, "t", [], 0.0)
@@ -102,25 +102,27 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_entries_together_keep_the_limit(self):
-        """Two entries; one gets three quarters of the organisation's load."""
+    def test_instances_together_keep_the_limit(self):
+        """An uneven load must neither exceed nor waste the limit."""
         org = configuration.Organisation("o", "", limit_tokens_per_s=1_000.0)
-        both = [limits.Limits(), limits.Limits()]
+        instances = [limits.Limits(), limits.Limits()]
         passed = 0
         for step in range(4_000):
             now = step * 0.01
-            book = both[step % 4 == 0]
+            book = instances[step % 4 == 0]
             if step % 100 == 0:
-                told = [limits.demand(b, now) for b in both]
-                for i, each in enumerate(both):
-                    each.shares = limits.shares(told[i], [told[1 - i]], 2)
+                demands = [limits.demand(b, now) for b in instances]
+                for i, instance in enumerate(instances):
+                    instance.shares = limits.shares(
+                        demands[i], [demands[1 - i]], 2
+                    )
             if limits.seconds_over(book, org, 100, now) == 0.0:
                 limits.charge(book, "o", 100)
                 passed += 100 if now >= 10.0 else 0
         self.assertLess(passed, 1.15 * 30.0 * 1_000)
         self.assertGreater(passed, 0.85 * 30.0 * 1_000)
 
-    def test_a_refusal_tells_when_the_debt_is_paid(self):
+    def test_wait_lasts_until_the_debt_is_paid(self):
         org = configuration.Organisation("o", "", limit_tokens_per_s=100.0)
         book = limits.Limits()
         self.assertEqual(limits.seconds_over(book, org, 1_000, 0.0), 0.0)
@@ -134,15 +136,19 @@
         st.lists(st.integers(0, 400_000), max_size=12),
         st.integers(1, 2_000_000),
     )
-    def test_parts_fit_and_stand_in_the_shared_order(self, rooms, need):
-        targets = [load.TargetLoad(f"t{i}", rank=i) for i in range(len(rooms))]
-        parts = groups.choose(targets, need, lambda t: rooms[t.rank])
+    def test_parts_fit_and_keep_the_rank_order(self, free_tokens, need):
+        targets = [
+            load.TargetLoad(f"t{i}", rank=i) for i in range(len(free_tokens))
+        ]
+        parts = groups.choose(targets, need, lambda t: free_tokens[t.rank])
         if not parts:
-            usable = sorted(r for r in rooms if r >= groups.LEAST_PART_TOKENS)
+            usable = sorted(
+                r for r in free_tokens if r >= groups.LEAST_PART_TOKENS
+            )
             self.assertLess(sum(usable[-groups.GROUP_MOST :]), need)
             return
         self.assertEqual(sum(part for _, part in parts), need)
         ranks = [tgt.rank for tgt, _ in parts]
         self.assertEqual(ranks, sorted(set(ranks)))
         for tgt, part in parts:
-            self.assertLessEqual(part, rooms[tgt.rank])
+            self.assertLessEqual(part, free_tokens[tgt.rank])
--- a/copperloom/decisions/tests/test_shards.py
+++ b/copperloom/decisions/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""How targets are divided, and who owns what."""
+"""Division of targets into shards, and the choice of owners."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class DivideTest(unittest.TestCase):
-    def test_each_data_centre_with_enough_is_a_shard(self):
+    def test_data_centre_with_enough_targets_is_a_shard(self):
         targets = _targets(a=9, b=8)
         shard = shards.home_shard("s", shards.divide(targets), "b")
         self.assertEqual(shard, shards.Shard("s", "b"))
@@ -30,23 +30,23 @@
         self.assertEqual(shard, shards.Shard("s"))
         self.assertEqual(shards.targets_in(shard, divided), targets)
 
-    def test_near_data_centres_are_one_shard(self):
-        """A peak of long prompts comes in one of three near data centres."""
+    def test_low_latency_data_centres_are_one_shard(self):
+        """Long prompts in one data centre need the engines of the others."""
         targets = _targets(a=26, b=26, c=26)
-        near = shards.divide(targets, low_latency=True)
-        shard = shards.home_shard("s", near, "b")
+        combined = shards.divide(targets, low_latency=True)
+        shard = shards.home_shard("s", combined, "b")
         self.assertEqual(shard, shards.Shard("s"))
-        self.assertEqual(len(shards.targets_in(shard, near)), 78)
+        self.assertEqual(len(shards.targets_in(shard, combined)), 78)
 
-    def test_more_targets_than_one_owner_places_on(self):
+    def test_too_many_targets_for_one_owner_are_divided(self):
         targets = _targets(a=400, b=400)
-        near = shards.divide(targets, low_latency=True)
+        divided = shards.divide(targets, low_latency=True)
         self.assertEqual(
-            shards.home_shard("s", near, "b"), shards.Shard("s", "b")
+            shards.home_shard("s", divided, "b"), shards.Shard("s", "b")
         )
 
     def test_every_target_is_in_one_shard(self):
-        """Small data centres join large ones; no target has two owners."""
+        """Small data centres join large ones; no target is in two shards."""
         targets = _targets(a=9, b=3, c=8, d=1)
         divided = shards.divide(targets)
         found = [
@@ -56,31 +56,31 @@
         names = [t.name for part in found for t in part]
         self.assertEqual(sorted(names), sorted(t.name for t in targets))
 
-    def test_instance_without_targets_near(self):
+    def test_instance_without_local_targets_gets_a_shard(self):
         targets = _targets(a=9, b=8)
         shard = shards.home_shard("s", shards.divide(targets), "z")
         self.assertIn(shard.data_centre, ("a", "b"))
 
-    def test_data_centre_whose_targets_are_gone(self):
-        """All engines of a data centre die; its callers go elsewhere."""
+    def test_data_centre_without_targets_uses_another_shard(self):
+        """Requests must go elsewhere after all local engines have died."""
         shard = shards.home_shard("s", shards.divide(_targets(a=9)), "b")
         self.assertEqual(shard, shards.Shard("s", "a"))
 
 
 class RankTest(unittest.TestCase):
-    def test_order_hangs_on_the_candidates_alone(self):
+    def test_ranking_depends_only_on_the_candidates(self):
         candidates = [shards.Instance(f"i{n}", 1.0) for n in range(9)]
         order = shards.rank("a", candidates)
         self.assertEqual(shards.rank("a", candidates[::-1]), order)
         fewer = [c for c in candidates if c.name != order[0]]
         self.assertEqual(shards.rank("a", fewer), order[1:])
 
-    def test_keys_have_owners_of_their_own(self):
+    def test_owners_differ_between_keys(self):
         candidates = [shards.Instance(f"i{n}", 1.0) for n in range(40)]
         first = {shards.rank(f"s{n}", candidates)[0] for n in range(40)}
         self.assertGreater(len(first), 15)
 
-    def test_more_processor_goes_first(self):
+    def test_instance_with_more_cores_ranks_first(self):
         small = [shards.Instance(f"i{n}", 0.5) for n in range(40)]
         order = shards.rank("a", [*small, shards.Instance("big", 2.0)])
         self.assertEqual(order[0], "big")
@@ -102,22 +102,21 @@
             self.members, self.me, "a", shards.Shard("s", "a")
         )
 
-    def test_all_agree_on_the_owners(self):
+    def test_instances_agree_on_the_owners(self):
         owners = self.order[: shards.OWNERS]
-        told = members.owners_to_notify(self.order, self.members, "me", 0.1)
+        notified = members.owners_to_notify(self.order, self.members, "me", 0.1)
         self.assertEqual(
-            [m.instance for m in told], [n for n in owners if n != "me"]
+            [m.instance for m in notified], [n for n in owners if n != "me"]
         )
         self.assertEqual(
             members.is_owner(self.order, self.members, "me", 0.1),
             "me" in owners,
         )
 
-    def test_all_data_centres_find_the_same_owners_of_a_whole_service(self):
-        """Each knows its own members, and of the others only owners.
+    def test_data_centres_agree_on_the_owners_of_a_whole_service(self):
+        """Data centres know different members but must query the same owners.
 
-        Ranked all alike, a member that only its own data centre knows came
-        first there, and each data centre asked another owner.
+        Each knows its own members and only the owners of the others.
         """
         centres = ("a", "b", "c")
         fleet = {
@@ -129,13 +128,13 @@
         orders = []
         for dc in centres:
             known = dict(fleet)
-            for far in set(centres) - {dc}:
-                there = [
+            for remote in set(centres) - {dc}:
+                instances = [
                     shards.Instance(m.instance, m.cores)
                     for m in fleet.values()
-                    if m.data_centre == far
+                    if m.data_centre == remote
                 ]
-                for name in shards.rank(far, there)[2 * shards.OWNERS :]:
+                for name in shards.rank(remote, instances)[2 * shards.OWNERS :]:
                     del known[name]
             me = known.pop(f"{dc}0")
             own = shards.Instance(me.instance, me.cores)
@@ -144,9 +143,9 @@
         self.assertEqual(orders[0], orders[2])
 
     def test_silent_owner_is_replaced(self):
-        """The first owner dies; its messages stay unanswered.
+        """The first owner dies and no longer replies to updates.
 
-        Others must hear of all work before they are asked for placements.
+        The next ones must receive the updates before they are queried.
         """
         others = [n for n in self.order if n != "me"]
         dead = self.members[others[0]]
@@ -154,21 +153,21 @@
         now = members.REPLY_INTERVAL_S + members.SKIP_AFTER_S + 0.1
         for name in others[1:]:
             members.record_received(self.members[name], now)
-        told = members.owners_to_notify(self.order, self.members, "me", now)
-        self.assertNotIn(dead, told)
-        self.assertGreaterEqual(len(told), shards.OWNERS - 1)
+        notified = members.owners_to_notify(self.order, self.members, "me", now)
+        self.assertNotIn(dead, notified)
+        self.assertGreaterEqual(len(notified), shards.OWNERS - 1)
 
-    def test_owner_that_returns_is_told_again(self):
+    def test_returning_owner_receives_updates_again(self):
         dead = self.members[[n for n in self.order if n != "me"][0]]
         members.record_sent(dead, members.REPLY_INTERVAL_S)
         now = members.REPLY_INTERVAL_S + members.SKIP_AFTER_S + 0.1
         self.assertTrue(members.is_skipped(dead, now))
         members.record_received(dead, now)
-        told = members.owners_to_notify(self.order, self.members, "me", now)
-        self.assertIn(dead, told)
+        notified = members.owners_to_notify(self.order, self.members, "me", now)
+        self.assertIn(dead, notified)
 
-    def test_silent_owner_is_tried_again(self):
-        """A network that was cut heals; nobody else would find out."""
+    def test_silent_owner_is_retried(self):
+        """Without a retry, a healed network partition would go unnoticed."""
         dead = self.members["m0"]
         members.record_sent(dead, 0.0)
         later = members.SKIP_AFTER_S + members.SKIP_S + 0.1
@@ -178,11 +177,10 @@
         again = later + members.SKIP_AFTER_S + 0.1
         self.assertTrue(members.is_skipped(dead, again))
 
-    def test_member_that_was_answered_owes_nothing(self):
-        """An instance starts, greets its data centre and never speaks again.
+    def test_member_need_not_acknowledge_a_reply(self):
+        """A member that is no owner announces itself once and gets a reply.
 
-        It is no owner, so nobody tells it anything; were it taken for silent,
-        it would be passed over when it is the next to own the shard.
+        It must not be skipped when it becomes the next owner of the shard.
         """
         member = self.members["m0"]
         members.record_received(member, 0.0)
@@ -190,41 +188,37 @@
         later = members.SKIP_AFTER_S + 1.0
         self.assertFalse(members.is_skipped(member, later))
 
-    def test_member_that_has_just_spoken_owes_nothing(self):
-        """A member is told again a moment after it spoke, and then no more.
-
-        It answers no second time so soon; were it taken for silent, it would
-        be passed over though it lives.
-        """
+    def test_member_that_sent_a_message_recently_need_not_reply(self):
+        """A live member that limits its replies must not be skipped."""
         member = self.members["m0"]
         members.record_received(member, 10.0)
         members.record_sent(member, 10.0 + members.REPLY_INTERVAL_S / 2)
         later = 10.0 + members.SKIP_AFTER_S + 2.0
         self.assertFalse(members.is_skipped(member, later))
 
-    def test_frozen_owner_is_asked_last(self):
-        """The first owner freezes; it counts as live for seconds.
+    def test_frozen_owner_is_queried_last(self):
+        """A frozen owner still counts as live until its last message is old.
 
-        Each question to it would cost a caller the patience for an answer.
+        Each query to it would delay a request by the query timeout.
         """
-        asked = members.owners_to_query(self.order, self.members, "me", 0.1)
-        members.record_query_timeout(asked[0], 0.1)
-        then = members.owners_to_query(self.order, self.members, "me", 0.2)
-        self.assertEqual(then, [*asked[1:], asked[0]])
-        members.record_received(asked[0], 0.3)
-        then = members.owners_to_query(self.order, self.members, "me", 0.4)
-        self.assertEqual(then, asked)
-
-    def test_data_centre_without_instances(self):
+        queried = members.owners_to_query(self.order, self.members, "me", 0.1)
+        members.record_query_timeout(queried[0], 0.1)
+        order = members.owners_to_query(self.order, self.members, "me", 0.2)
+        self.assertEqual(order, [*queried[1:], queried[0]])
+        members.record_received(queried[0], 0.3)
+        order = members.owners_to_query(self.order, self.members, "me", 0.4)
+        self.assertEqual(order, queried)
+
+    def test_any_instance_may_own_a_shard_without_local_instances(self):
         order = members.rank_owners(
             self.members, self.me, "a", shards.Shard("s", "elsewhere")
         )
         self.assertEqual(len(order), 21)
 
-    def test_share_of_what_all_spend(self):
-        """Few members of a large fleet are heard; all spend of the budget."""
+    def test_shared_budget_counts_all_members_of_a_large_fleet(self):
+        """Most members of a large fleet send no messages here but spend too."""
         late = members.MEMBER_TIMEOUT_S + 1.0
         self.assertEqual(members.count_sharing(self.members, late), 21)
-        few = {name: self.members[name] for name in ("m0", "m1")}
-        self.assertEqual(members.count_sharing(few, late), 1)
-        self.assertEqual(members.count_sharing(few, 0.1), 3)
+        known = {name: self.members[name] for name in ("m0", "m1")}
+        self.assertEqual(members.count_sharing(known, late), 1)
+        self.assertEqual(members.count_sharing(known, 0.1), 3)
--- a/copperloom/decisions/tests/world.py
+++ b/copperloom/decisions/tests/world.py
@@ -1,4 +1,4 @@
-"""Entries with a Scheduler each, before fake engines, and what callers see."""
+"""Simulated instances with a scheduler each, in front of fake engines."""
 
 import dataclasses
 import math
@@ -8,11 +8,11 @@
 from copperloom.decisions.tests import callers, engines
 from copperloom.targets.interface import LoadReport
 
-REPORT_S = 0.5
-EXCHANGE_S = 0.5
-LOOK_S = 1.0
+REPORT_INTERVAL_S = 0.5
+EXCHANGE_INTERVAL_S = 0.5
+STREAMS_INTERVAL_S = 1.0
 OWNER_DELAY_S = 0.003
-RESERVATION_S = 10.0
+RESERVATION_TTL_S = 10.0
 KV_TOKENS = 400_000
 
 
@@ -32,7 +32,7 @@
 
 
 class World:
-    """Entries, engines, the owners' books, reports and digests."""
+    """Instances, engines, the owners' reservations, reports and digests."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         preset=None,
         organisations=(),
         slow=None,
-        report_lag_s=REPORT_S,
+        report_lag_s=REPORT_INTERVAL_S,
         reports=True,
         kv=KV_TOKENS,
     ):
@@ -62,7 +62,12 @@
         for name in self.engines:
             share = self.cfg.preset.long_share
             reservation.open_target(
-                self.book, name, kv, share, RESERVATION_S, -RESERVATION_S
+                self.book,
+                name,
+                kv,
+                share,
+                RESERVATION_TTL_S,
+                -RESERVATION_TTL_S,
             )
             reservation.seen(self.book, name, [], 0.0)
         self.scheds = [
@@ -70,7 +75,7 @@
             for i in range(entries)
         ]
         self.told = [{} for _ in self.scheds]
-        self.woken = [math.inf] * entries
+        self.wake_at = [math.inf] * entries
         self.outcomes: dict[str, callers.Outcome] = {}
         self.denied = 0
         self.unreachable = 0
@@ -78,12 +83,12 @@
         for sched in self.scheds:
             scheduler.set_configuration(sched, self.cfg, 0.0)
         if reports:
-            self.clock.at(REPORT_S, self._report)
-        self.clock.at(EXCHANGE_S, self._exchange)
-        self.clock.at(LOOK_S, self._look)
+            self.clock.at(REPORT_INTERVAL_S, self._report)
+        self.clock.at(EXCHANGE_INTERVAL_S, self._exchange)
+        self.clock.at(STREAMS_INTERVAL_S, self._list_streams)
 
     def run(self, requests, until):
-        """Plays requests at the entries in turn; returns the outcomes."""
+        """Sends requests to the instances in turn; returns the outcomes."""
         for i, req in enumerate(requests):
             index = i % len(self.scheds)
             self.clock.at(
@@ -96,32 +101,32 @@
         self.outcomes[req.id] = callers.Outcome(req)
         refusal = scheduler.offer(self.scheds[index], req, self.clock.now)
         if refusal is not None:
-            self._refused(refusal)
+            self._record_refusal(refusal)
         self._dispatch(index)
 
     def _dispatch(self, index):
         sched = self.scheds[index]
-        for decided in scheduler.dispatch(sched, self.clock.now):
-            if isinstance(decided, messages.Refusal):
-                self._refused(decided)
+        for decision in scheduler.dispatch(sched, self.clock.now):
+            if isinstance(decision, messages.Refusal):
+                self._record_refusal(decision)
             else:
-                self._placed(decided, index)
+                self._start(decision, index)
         self._plan_wake(index)
 
     def _plan_wake(self, index):
         when = scheduler.next_wake(self.scheds[index], self.clock.now)
-        if when is None or when >= self.woken[index] - 1e-9:
+        if when is None or when >= self.wake_at[index] - 1e-9:
             return
-        self.woken[index] = when
+        self.wake_at[index] = when
         self.clock.at(
             max(when, self.clock.now + 0.01), lambda: self._wake(index)
         )
 
     def _wake(self, index):
-        self.woken[index] = math.inf
+        self.wake_at[index] = math.inf
         self._dispatch(index)
 
-    def _refused(self, refusal):
+    def _record_refusal(self, refusal):
         self._end(refusal.request, refusal.error, refusal.retry_after_s)
 
     def _end(self, req, error, retry_after_s=0.0):
@@ -133,7 +138,7 @@
         if not error:
             outcome.total_s = outcome.decided_s
 
-    def _placed(self, placement, index):
+    def _start(self, placement, index):
         if not placement.long:
             self._send(placement, index)
             return
@@ -144,28 +149,33 @@
 
     def _reserve(self, placement, index):
         req = placement.request
-        taken = []
+        reserved = []
         for name, tokens in zip(
             placement.targets, placement.tokens, strict=True
         ):
             grant = reservation.reserve(
-                self.book, name, req.id, tokens, RESERVATION_S, self.clock.now
+                self.book,
+                name,
+                req.id,
+                tokens,
+                RESERVATION_TTL_S,
+                self.clock.now,
             )
             if not grant.granted:
                 self.denied += 1
-                for other in taken:
+                for other in reserved:
                     reservation.release(self.book, other, [req.id])
-                self._again(placement, index, name)
+                self._requeue(placement, index, name)
                 return
-            taken.append(name)
+            reserved.append(name)
         self._send(placement, index)
 
-    def _again(self, placement, index, avoid):
+    def _requeue(self, placement, index, avoid):
         sched = self.scheds[index]
         now = self.clock.now
         refusal = scheduler.requeue(sched, placement, now, avoid=avoid)
         if refusal is not None:
-            self._refused(refusal)
+            self._record_refusal(refusal)
         self.clock.at(now + 0.001, lambda: self._dispatch(index))
 
     def _send(self, placement, index):
@@ -173,29 +183,31 @@
         flight.start()
 
     def _report(self):
-        seen = {n: e.load() for n, e in self.engines.items() if not e.down}
-        self.clock.at(self.clock.now + self.lag_s, lambda: self._reported(seen))
-        self.clock.at(self.clock.now + REPORT_S, self._report)
+        reports = {n: e.load() for n, e in self.engines.items() if not e.down}
+        self.clock.at(
+            self.clock.now + self.lag_s, lambda: self._apply_report(reports)
+        )
+        self.clock.at(self.clock.now + REPORT_INTERVAL_S, self._report)
 
-    def _reported(self, seen: dict[str, LoadReport]):
+    def _apply_report(self, reports: dict[str, LoadReport]):
         for sched in self.scheds:
-            for name, load in seen.items():
+            for name, load in reports.items():
                 load = dataclasses.replace(load, age_s=self.lag_s)
                 scheduler.report(sched, name, load, self.clock.now)
 
     def _exchange(self):
         now = self.clock.now
-        told = [scheduler.backlog(s) for s in self.scheds]
+        backlogs = [scheduler.backlog(s) for s in self.scheds]
         for i, sched in enumerate(self.scheds):
             loads = {}
-            for other in told[:i] + told[i + 1 :]:
+            for other in backlogs[:i] + backlogs[i + 1 :]:
                 for name, (streams, prefill) in other.items():
-                    had = loads.get(name, (0, 0))
-                    loads[name] = (had[0] + streams, had[1] + prefill)
+                    known = loads.get(name, (0, 0))
+                    loads[name] = (known[0] + streams, known[1] + prefill)
             scheduler.set_peer_loads(sched, loads, now)
-        self.clock.at(now + EXCHANGE_S, self._exchange)
+        self.clock.at(now + EXCHANGE_INTERVAL_S, self._exchange)
 
-    def _look(self):
+    def _list_streams(self):
         for name, engine in self.engines.items():
             reservation.seen(
                 self.book,
@@ -206,40 +218,44 @@
             )
             for stream in engine.waiting:
                 reservation.renew(
-                    self.book, name, stream.name, RESERVATION_S, self.clock.now
+                    self.book,
+                    name,
+                    stream.name,
+                    RESERVATION_TTL_S,
+                    self.clock.now,
                 )
-        self.clock.at(self.clock.now + LOOK_S, self._look)
+        self.clock.at(self.clock.now + STREAMS_INTERVAL_S, self._list_streams)
 
 
 class _Flight:
-    """One placement at its engines, with its time limit."""
+    """A placement at its engines, until its deadline."""
 
     def __init__(self, world, placement, index, sent):
         self.world = world
         self.placement = placement
         self.index = index
         self.sent = sent
-        self.filled = 1
-        self.over = False
+        self.prefilled = 1
+        self.ended = False
 
     def start(self):
         req = self.placement.request
-        self.world.clock.at(req.deadline, self._late)
+        self.world.clock.at(req.deadline, self._time_out)
         names = self.placement.targets
         for name, tokens in zip(
             names[1:], self.placement.tokens[1:], strict=True
         ):
-            if not self._open(name, tokens, tokens, 0, self._part_filled):
+            if not self._open(name, tokens, tokens, 0, self._part_prefilled):
                 return
         if len(names) == 1:
-            self._lead()
+            self._open_lead()
 
-    def _part_filled(self):
-        self.filled += 1
-        if self.filled == len(self.placement.targets) and not self.over:
-            self._lead()
+    def _part_prefilled(self):
+        self.prefilled += 1
+        if self.prefilled == len(self.placement.targets) and not self.ended:
+            self._open_lead()
 
-    def _lead(self):
+    def _open_lead(self):
         req = self.placement.request
         tokens = self.placement.tokens[0]
         prompt = max(1, tokens - req.max_tokens)
@@ -269,7 +285,7 @@
         self.world.unreachable += 1
         sched = self.world.scheds[self.index]
         scheduler.target_failed(sched, name, self.world.clock.now)
-        self.world._again(self.placement, self.index, name)
+        self.world._requeue(self.placement, self.index, name)
         return False
 
     def _first(self):
@@ -283,12 +299,12 @@
     def _done(self):
         self._finish("", ok=True)
 
-    def _late(self):
-        if not self.over:
+    def _time_out(self):
+        if not self.ended:
             self._finish("TimeLimitPassedError", ok=False)
 
     def _close(self):
-        self.over = True
+        self.ended = True
         for name in self.placement.targets:
             self.world.engines[name].close(self.placement.request.id)
             reservation.release(
--- a/copperloom/exception.py
+++ b/copperloom/exception.py
@@ -1,9 +1,9 @@
-"""Errors with numbered result codes; docs/ERRORS.md holds the table.
+"""Errors with numbered result codes; docs/ERRORS.md lists them.
 
-A code is stable once released: callers and operators match on the number.
-The thousands tell the area: 1 settings, 2 the caller's input, 3 refusals
-under load, 4 targets, 5 the platform and the configuration, 6 peers and
-orders, 7 the command line.
+Codes are stable once released, since callers and operators match on them. The
+thousands give the area: 1 settings, 2 the caller's input, 3 refusals under
+load, 4 targets, 5 the platform and the configuration, 6 peers and orders, 7
+the command line.
 """
 
 import enum
@@ -45,7 +45,7 @@
 
 
 class Run(enum.StrEnum):
-    """What the caller may believe about a request that got no answer."""
+    """Whether a failed request ran at a target, as far as is known."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -58,9 +58,9 @@
     Attributes:
         code: The numbered result code.
         status: The HTTP status that callers get.
-        run: Whether the request ran, as far as can be known.
-        retry_after_s: Seconds after which to try again; None if trying
-            again does not help.
+        run: Whether the request ran, as far as is known.
+        retry_after_s: Seconds after which to retry; None if a retry does not
+            help.
     """
 
     code = 1000
@@ -83,13 +83,13 @@
 
 
 class SettingsError(CopperloomError):
-    """A settings file is wrong."""
+    """A settings file is invalid."""
 
     code = 1001
 
 
 class MalformedRequestError(CopperloomError):
-    """The request could not be read."""
+    """The request is malformed."""
 
     code = 2001
     status = 400
@@ -117,35 +117,35 @@
 
 
 class BodyTooLargeError(CopperloomError):
-    """The request's body is over the limit."""
+    """The request's body exceeds the size limit."""
 
     code = 2005
     status = 413
 
 
 class HeaderOutOfRangeError(CopperloomError):
-    """A header's value is out of its range."""
+    """A header's value is out of range."""
 
     code = 2006
     status = 400
 
 
 class PromptTooLargeError(CopperloomError):
-    """No group of engines could hold the prompt."""
+    """The prompt does not fit into any group of engines."""
 
     code = 2007
     status = 413
 
 
 class KeyConflictError(CopperloomError):
-    """The idempotency key was used before with another request."""
+    """The idempotency key was already used with a different request."""
 
     code = 2008
     status = 422
 
 
 class KeyInUseError(CopperloomError):
-    """A request under this idempotency key runs or has run."""
+    """A request with this idempotency key is running or has run."""
 
     code = 2009
     status = 409
@@ -153,7 +153,7 @@
 
 
 class StreamUnknownError(CopperloomError):
-    """The stream to resume is not known at its target any more."""
+    """The stream to resume is no longer known at its target."""
 
     code = 2010
     status = 404
@@ -169,7 +169,7 @@
 
 
 class LimitExceededError(CopperloomError):
-    """The organisation is over its limit."""
+    """The organisation exceeds its rate limit."""
 
     code = 3002
     status = 429
@@ -177,7 +177,7 @@
 
 
 class DrainingError(CopperloomError):
-    """This instance is leaving and takes no new work."""
+    """This instance is draining and accepts no new work."""
 
     code = 3003
     status = 503
@@ -193,7 +193,7 @@
 
 
 class CapacityExceededError(CopperloomError):
-    """No memory was left for long work in its time limit."""
+    """No engine memory became free for long work within its time limit."""
 
     code = 3005
     status = 503
@@ -201,7 +201,7 @@
 
 
 class TimeLimitPassedError(CopperloomError):
-    """The time limit passed."""
+    """The request's time limit has passed."""
 
     code = 3006
     status = 504
@@ -209,7 +209,7 @@
 
 
 class TargetUnreachableError(CopperloomError):
-    """The target took no connection, so nothing was sent."""
+    """The target accepted no connection, so nothing was sent."""
 
     code = 4001
     status = 502
@@ -217,7 +217,7 @@
 
 
 class TargetRefusedError(CopperloomError):
-    """The target refused the work and says that it did not run."""
+    """The target refused the request and reports that it did not run."""
 
     code = 4002
     status = 503
@@ -225,7 +225,7 @@
 
 
 class TargetFailedError(CopperloomError):
-    """The target ran the work and failed."""
+    """The target ran the request and failed."""
 
     code = 4003
     status = 502
@@ -233,7 +233,7 @@
 
 
 class StreamBrokenError(CopperloomError):
-    """The answer broke off and could not be resumed."""
+    """The response stream broke off and could not be resumed."""
 
     code = 4004
     status = 502
@@ -241,7 +241,7 @@
 
 
 class PlatformDownError(CopperloomError):
-    """The platform's service gave no answer; nothing took effect."""
+    """The platform's service did not respond; nothing took effect."""
 
     code = 5001
     status = 503
@@ -249,7 +249,7 @@
 
 
 class PlatformUnknownError(CopperloomError):
-    """A write was sent and its confirmation was lost."""
+    """A write was sent but its confirmation was lost."""
 
     code = 5002
     status = 503
@@ -257,7 +257,7 @@
 
 
 class RateLimitedError(CopperloomError):
-    """The platform's service is over its rate."""
+    """The rate limit of the platform's service is exceeded."""
 
     code = 5003
     status = 503
@@ -265,14 +265,14 @@
 
 
 class ChangeLostError(CopperloomError):
-    """Another change came first, so this one was not made."""
+    """Another change came first, so this one was not applied."""
 
     code = 5004
     status = 409
 
 
 class ChangeUnknownError(CopperloomError):
-    """It could not be learnt whether the change was made."""
+    """It is unknown whether the change was applied."""
 
     code = 5005
     status = 503
@@ -280,7 +280,7 @@
 
 
 class StaleConfigurationError(CopperloomError):
-    """This instance cannot tell whether its configuration is in force."""
+    """This instance cannot confirm that its configuration is in force."""
 
     code = 5006
     status = 503
@@ -288,13 +288,13 @@
 
 
 class HistoryGoneError(PlatformDownError):
-    """The changes asked for are no longer kept; everything is read again."""
+    """The requested changes are no longer kept; a full read is needed."""
 
     code = 5007
 
 
 class PeerUnavailableError(CopperloomError):
-    """A peer gave no answer."""
+    """A peer did not respond."""
 
     code = 6001
     status = 503
@@ -302,7 +302,7 @@
 
 
 class OrderRefusedError(CopperloomError):
-    """A target refused an order, for example for an old fencing number."""
+    """A target refused an order, for example for an old fencing token."""
 
     code = 6002
     status = 409
--- a/copperloom/logs.py
+++ b/copperloom/logs.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event, through logbook."""
+"""Structured logging: one line of key=value pairs per event."""
 
 import collections
 import os
@@ -17,11 +17,11 @@
 
 
 def setup(level: str = "INFO", **common) -> None:
-    """Sends log lines to standard error.
+    """Configures logging to standard error.
 
     Args:
-        level: The least level to write.
-        **common: Pairs that every line carries, such as instance=NAME.
+        level: Minimum level of the lines that are written.
+        **common: Pairs to append to every line, such as instance=NAME.
     """
     tail = "".join(f" {key}={_quote(value)}" for key, value in common.items())
     handler = logbook.StreamHandler(
@@ -33,25 +33,25 @@
 class BoundedWriter:
     """Writes lines to a file descriptor without ever blocking.
 
-    A reader that stops reading would otherwise stop the process in the middle
-    of a request. Lines wait in memory up to a bound and are dropped beyond it,
-    and no more than a number a second are taken, so that a flood of failures
-    costs no more processor time than they do. What is dropped is counted and
-    said in the next line that goes out.
+    Otherwise a log reader that stalls would stall the process in the middle of
+    a request. Lines are buffered in memory up to a bound, and their rate is
+    limited, so that a flood of failures does not use up the processor. Lines
+    beyond the bounds are dropped; their count is reported ahead of the next
+    line that is accepted.
 
     Attributes:
-        fd: The descriptor, set to not block.
-        waiting: Lines that could not be written yet.
-        waiting_bytes: Their size.
-        dropped: Lines dropped so far.
-        told: Dropped lines that were said.
-        left: Lines that may be taken now.
-        at: Monotonic time of `left`.
+        fd: The file descriptor, set to non-blocking mode.
+        waiting: Buffered lines that could not be written yet.
+        waiting_bytes: Size of the buffered lines.
+        dropped: Number of lines dropped so far.
+        told: Number of dropped lines already reported.
+        left: Number of lines that may be accepted now, as of `at`.
+        at: Monotonic time at which `left` was updated.
     """
 
     MOST_BYTES = 262_144
-    # A busy instance handles some ten requests a second, with two or three
-    # lines each; the burst covers a start or an outage.
+    # Well above the rate of a busy instance; the burst covers a start or an
+    # outage.
     LINES_PER_S = 200.0
     BURST = 1000.0
 
@@ -66,7 +66,7 @@
         self.at = 0.0
 
     def write(self, line: str, now: float) -> None:
-        """Takes a line, and writes what the reader takes."""
+        """Buffers a line, and writes as much as does not block."""
         grown = self.left + (now - self.at) * self.LINES_PER_S
         self.left = min(self.BURST, grown)
         self.at = now
@@ -81,7 +81,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes as much as goes without waiting."""
+        """Writes as much of the buffer as does not block."""
         while self.waiting:
             data = self.waiting[0]
             try:
@@ -89,7 +89,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; serving goes on.
+                # The reader is gone; that must not stop the process.
                 self.dropped += len(self.waiting)
                 self.waiting.clear()
                 self.waiting_bytes = 0
@@ -118,11 +118,11 @@
 
 
 def setup_bounded(level: str = "INFO", **common) -> BoundedWriter:
-    """Sends log lines to standard output, bounded and without blocking.
+    """Configures logging to standard output, bounded and without blocking.
 
     Args:
-        level: The least level to write.
-        **common: Pairs that every line carries.
+        level: Minimum level of the lines that are written.
+        **common: Pairs to append to every line.
     """
     tail = "".join(f" {key}={_quote(value)}" for key, value in common.items())
     writer = BoundedWriter(sys.stdout.fileno())
@@ -137,7 +137,7 @@
 
 
 def event(name: str, *, level: str = "INFO", **pairs) -> None:
-    """Writes one line: event=NAME and the pairs, in the order given."""
+    """Logs a line with event=NAME and the pairs, in the order given."""
     text = f"event={name}" + "".join(
         f" {key}={_quote(value)}" for key, value in pairs.items()
     )
@@ -145,7 +145,7 @@
 
 
 def _quote(value) -> str:
-    """Quotes a value that would break the line into wrong pairs."""
+    """Formats a value, quoted if it would break the key=value syntax."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
--- a/copperloom/messages.py
+++ b/copperloom/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages that the filters, decisions and controllers share."""
+"""Messages that the filters, decisions and controllers share."""
 
 import dataclasses
 
@@ -9,22 +9,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request that passed the door, with all that decisions need.
+    """An accepted request, with all that decisions need.
 
     Attributes:
-        id: Unique name, INSTANCE.BOOT.SEQUENCE; also names its stream.
+        id: Unique name, INSTANCE.BOOT.SEQUENCE; also the name of its stream.
         organisation: Name of the organisation.
         weight: The organisation's weight under contention.
         deployment: Name of the deployment.
-        kind: Engine work or a service call.
-        model: Model name ("" for a service call).
-        prompt_tokens: Estimated tokens of the prompt.
-        max_tokens: Most tokens of the answer.
-        arrived: Monotonic time at the door, in seconds.
-        deadline: Monotonic time by which it must have its outcome.
+        kind: Kind of target: a model engine or a plain service.
+        model: Model name; "" for a plain service.
+        prompt_tokens: Estimated number of prompt tokens.
+        max_tokens: Maximum number of tokens to generate.
+        arrived: Monotonic time of arrival, in seconds.
+        deadline: Monotonic time by which it must be completed or refused.
         version: Version of the configuration that it was admitted under.
-        prefix: Hash of the prompt's start, "" if too short to be cached.
-        key: Idempotency key, "" if none.
+        prefix: Hash of the prompt's prefix; "" if too short to be cached.
+        key: Idempotency key; "" if none.
         repeatable: Whether it may run more than once.
     """
 
@@ -46,15 +46,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request goes.
+    """The targets that a request is sent to.
 
     Attributes:
         request: The request.
-        targets: Names of the targets; the first leads, further ones hold
-            parts of a prompt that is larger than one engine.
-        tokens: KV tokens to take at each target, in the same order.
-        priority: Priority at the engine; greater goes first.
-        long: Whether it counts as long work, which needs the consent of each
+        targets: Names of the targets: the lead engine, then the helper engines
+            for parts of a prompt that does not fit into one engine.
+        tokens: KV tokens to use at each target, in the same order.
+        priority: Priority at the engine; the highest is served first.
+        long: Whether it counts as long work, which needs a reservation by each
             target's owner before it is sent.
     """
 
@@ -67,13 +67,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that is given up before anything was sent to a target.
+    """A request that is refused before anything was sent to a target.
 
     Attributes:
         request: The request.
         error: Class name in copperloom.exception, such as "OverloadedError".
-        message: For the caller.
-        retry_after_s: When to come back.
+        message: Message for the caller.
+        retry_after_s: Seconds after which the caller may retry.
     """
 
     request: Request
--- a/copperloom/routing.py
+++ b/copperloom/routing.py
@@ -1,7 +1,7 @@
-"""What the operators route by: routes, services, organisations, targets.
+"""Routes, services, organisations and targets by which requests are routed.
 
-All types are immutable; a new version replaces the whole table at once, so a
-request sees one version from its first line to its answer.
+All types are immutable. A new version replaces the whole table at once, so a
+request uses a single version from its first line to its response.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done with a request on a route."""
+    """How a request on a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Backend:
-    """One of the services that a route divides its requests among.
+    """A service to which a route sends a share of its requests.
 
     Attributes:
         service: Name of the service.
@@ -48,22 +48,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and path go.
+    """The rule for requests to a host and path prefix.
 
     Attributes:
         name: Unique name.
         host: Host without port, in lower case.
-        path_prefix: Start of the path; begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: Longest time until the final answer.
-        target_latency_s: Time to the answer (a stream's first event) within
-            which the caller is well served.
-        priority: Rank among routes; 0 goes first.
-        backends: The services.
-        max_attempts: Most targets that one request may be sent to.
-        public: Whether requests need no key.
-        resumable: Whether a broken stream may go on at another target.
-        pause_aim_s: Longest pause between events of a well-served stream.
+        path_prefix: Prefix of the path; begins and ends with a slash.
+        kind: How requests may be retried.
+        timeout_s: Maximum time until the final response, in seconds.
+        target_latency_s: Latency objective for the response (for a stream, its
+            first event), in seconds.
+        priority: Rank among routes; 0 is the highest priority.
+        backends: Services that the requests are divided among.
+        max_attempts: Maximum number of targets that a request may be sent to.
+        public: Whether requests need no API key.
+        resumable: Whether another target may continue a broken stream.
+        pause_aim_s: Objective for the gap between events of a stream, in
+            seconds.
     """
 
     name: str
@@ -87,21 +88,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """How fast a model engine works, as its operators state it.
+    """Capacity and speed of a model engine, as stated by its operators.
 
     Attributes:
-        slots: Requests that write at once.
-        kv_tokens: Memory, in tokens of context.
-        stride: Steps of one pass while answers are written.
-        step_s: Time of a step.
-        per_sequence_s: Added to a step by each answer being written.
-        context_s: Added to a step by each token of an answer's context.
-        prefill_tokens_per_s: Prompt tokens read in a second.
-        pair_s: Added by each pair of a prompt token and an earlier one.
-        chunk_tokens: Most prompt tokens read in a step.
-        hop_s: Added to a step of an answer whose prompt was read in parts.
-        most_delay_s: Longest way between data centres that have engines; inf
-            if that is not stated.
+        slots: Maximum number of requests that decode at once.
+        kv_tokens: KV memory, in tokens of context.
+        stride: Decode steps in an iteration.
+        step_s: Base time of a step, in seconds.
+        per_sequence_s: Seconds added to a step by each decoding request.
+        context_s: Seconds added to a step by each token of a decoding
+            request's context.
+        prefill_tokens_per_s: Prompt tokens prefilled per second.
+        pair_s: Seconds added to a prefill by each pair of a prompt token and an
+            earlier one.
+        chunk_tokens: Maximum number of prompt tokens prefilled in a step.
+        hop_s: Seconds added to a decode step of a request whose prompt was
+            prefilled in parts.
+        most_delay_s: Maximum one-way delay between data centres that have
+            engines, in seconds; inf if not stated.
     """
 
     slots: int
@@ -119,11 +123,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service that routes lead to.
+    """A service that routes send requests to.
 
     Attributes:
         name: Unique name.
-        engine: Figures of its model engines; None for a plain service.
+        engine: Performance of its model engines; None for a plain service.
     """
 
     name: str
@@ -136,7 +140,7 @@
 
     Attributes:
         name: Its name.
-        priority: Rank that goes before the route's; None if it has none.
+        priority: Rank that overrides the route's; None if it has none.
     """
 
     name: str
@@ -145,11 +149,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds of what callers may send.
+    """Limits on what callers may send.
 
     Attributes:
-        max_body_bytes: Longest body.
-        idle_timeout_s: How long a kept connection may stay idle.
+        max_body_bytes: Maximum size of a request body.
+        idle_timeout_s: Time after which an idle keep-alive connection is
+            closed, in seconds.
     """
 
     max_body_bytes: int = 4 * 1024 * 1024
@@ -161,14 +166,14 @@
     """A target as it registered itself.
 
     Attributes:
-        name: Name of this start of the target.
+        name: Name of the target.
         service: Service that it belongs to.
         address: IP:port.
-        data_centre: Where it stands.
-        slots: Requests that it works on at once.
-        draining: Whether it takes no new work.
-        born_ms: When it started, where it says so (ms since the epoch). The
-            same name with a later start is a target that remembers nothing.
+        data_centre: Its data centre.
+        slots: Maximum number of requests that it serves at once.
+        draining: Whether it accepts no new work.
+        born_ms: When it started, in ms since the epoch; 0 if not stated. A
+            later start under the same name is a target that has lost its state.
     """
 
     name: str
@@ -182,15 +187,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutingTable:
-    """One version of everything that requests are routed by.
+    """A version of everything that requests are routed by.
 
     Attributes:
-        version: 0 before any is known.
-        routes: By (host, path_prefix).
-        services: By name.
-        organisations: By API key.
-        keyed: Whether routes that aren't public need a key.
-        limits: Bounds of what callers may send.
+        version: Version of the table; 0 before any is known.
+        routes: Routes by (host, path_prefix).
+        services: Services by name.
+        organisations: Organisations by API key.
+        keyed: Whether routes that are not public need an API key.
+        limits: Limits on what callers may send.
     """
 
     version: int = 0
@@ -212,7 +217,7 @@
     organisations: dict[str, KeyHolder] | None,
     limits: RequestLimits,
 ) -> RoutingTable:
-    """Makes a table; `organisations` None means that no key is needed."""
+    """Builds a table; without `organisations` no API key is needed."""
     return RoutingTable(
         version=version,
         routes={(r.host, r.path_prefix): r for r in routes},
@@ -226,16 +231,16 @@
 def match(table: RoutingTable, host: str, path: str) -> Route | None:
     """Finds the route with the longest prefix of a path.
 
-    Prefixes end with a slash, so only the starts of the path up to each of
-    its slashes are looked up: the cost does not grow with the routes.
+    Prefixes end with a slash, so only the prefixes of the path up to each of
+    its slashes are looked up: the cost does not grow with the number of routes.
 
     Args:
-        table: The routes.
+        table: The routing table.
         host: The Host header; a port is ignored.
         path: The path as sent, without the query.
 
     Returns:
-        The route, or None.
+        The route, or None if there is none.
     """
     name = host.partition(":")[0].lower()
     end = path.rfind("/")
@@ -256,10 +261,10 @@
         route: The route.
         usable: Services that have targets; others are drawn only if no
             service of the route has any.
-        rng: Source of the draw.
+        rng: Random number generator.
 
     Returns:
-        The service's name.
+        Name of the service.
     """
     live = [b for b in route.backends if b.service in usable and b.weight > 0]
     among = live or list(route.backends)
