--- a/copperloom/decisions/tests/test_invariants.py
+++ b/copperloom/decisions/tests/test_invariants.py
@@ -48,7 +48,7 @@
 
     def offer(self, number):
         tokens = TOKENS[number % len(TOKENS)]
-        name = f"r{len(self.queued) + len(self.placed) + len(self.over)}"
+        name = f"r{len(self.queued) + len(self.placed) + len(self.ended)}"
         org = f"o{number % 3}"
         req = callers.make_request(
             name,
