--- a/copperloom/decisions/tests/test_shards.py
+++ b/copperloom/decisions/tests/test_shards.py
@@ -87,7 +87,7 @@
 
 
 def _member(name: str, **changes) -> members.Member:
-    given = {"heard_at": 0.0, "data_centre": "a"}
+    given = {"last_received_at": 0.0, "data_centre": "a"}
     return members.Member(name, f"{name}:1", "", 0.0, **given | changes)
 
 
