--- a/copperloom/decisions/tests/test_fetch_policy.py
+++ b/copperloom/decisions/tests/test_fetch_policy.py
@@ -72,7 +72,7 @@
 
 
 class SpreadTest(unittest.TestCase):
-    def test_large_document_spreads_faster_from_many_sources(self):
+    def test_packed_document_from_many_sources_spreads_fast(self):
         """A single source's uplink must not delay new routes for the fleet.
 
         Callers would get 404 on routes that are in force.
