--- a/copperloom/ingress/announcements.py
+++ b/copperloom/ingress/announcements.py
@@ -1,8 +1,8 @@
-"""Members that instances pass on to each other.
+"""Selects the members that instances announce to each other.
 
-Whoever starts asks a few for the members that matter to it; those that became
-known of late, and now and then any, are passed on with each digest. So a start
-needs no call to the platform's table where one member answers.
+An instance that starts asks a few others for the members that matter to it,
+and needs no call to the platform's table if one of them replies. Digests also
+announce members that were discovered recently.
 """
 
 from copperloom import logs
@@ -18,46 +18,48 @@
     "add_member",
 ]
 
-# Members that became known of late are passed on for so long, some at a time.
+# Members are announced for this duration after their discovery, at most
+# MAX_RECENT in one digest.
 RECENT_S = 15.0
 MAX_RECENT = 10
-# Most that an answer names: a data centre and the owners of the others.
+# Members in one reply: those of a data centre and the owners of the others.
 MAX_RELEVANT = 200
 
 
 def own_announcement(state: IngressState) -> datagrams.Announcement:
-    """Returns what others need to know to reach this instance."""
-    mine = state.settings
+    """Returns the announcement of this instance."""
+    own = state.settings
     return datagrams.Announcement(
-        mine.instance,
+        own.instance,
         state.datagrams,
-        mine.peers_listen,
-        mine.data_centre,
-        mine.cores,
+        own.peers_listen,
+        own.data_centre,
+        own.cores,
     )
 
 
 def recent_members(
     state: IngressState, now: float
 ) -> list[datagrams.Announcement]:
-    """Picks members that others may not know of yet."""
-    late = [
+    """Selects members that others may not know yet."""
+    recent = [
         m for m in state.members.values() if now - m.discovered_at < RECENT_S
     ]
-    if len(late) > MAX_RECENT:
-        late = state.rng.sample(late, MAX_RECENT)
-    if not late and state.members:
-        # One that all others forgot would stay unknown for ever.
-        late = [state.rng.choice(list(state.members.values()))]
-    return [_of(m) for m in late]
+    if len(recent) > MAX_RECENT:
+        recent = state.rng.sample(recent, MAX_RECENT)
+    if not recent and state.members:
+        # A member that the others have removed would stay unknown otherwise.
+        recent = [state.rng.choice(list(state.members.values()))]
+    return [_announcement(m) for m in recent]
 
 
 def relevant_members(
     state: IngressState, member: Member, now: float
 ) -> list[datagrams.Announcement]:
-    """Picks the members that matter to one that has just started.
+    """Selects the members that matter to one that has just started.
 
-    All of its data centre, and those that may own the shards of others.
+    These are all members of its data centre, and those that may own the shards
+    of the other data centres.
     """
     names = {
         m.instance
@@ -68,43 +70,46 @@
         order = placement_rpc.order_of(state, shards.Shard("", data_centre))
         names.update(order[: 2 * shards.OWNERS])
     names -= {member.instance, state.settings.instance}
-    return [_of(state.members[n]) for n in sorted(names)][:MAX_RELEVANT]
+    return [_announcement(state.members[n]) for n in sorted(names)][
+        :MAX_RELEVANT
+    ]
 
 
 def add_member(
     state: IngressState,
-    introduced: datagrams.Announcement | catalog.MemberRow,
+    announced: datagrams.Announcement | catalog.MemberRow,
     now: float,
 ) -> Member | None:
-    """Returns the member that is introduced, known from now on.
+    """Adds an announced member unless it is known already.
 
     Args:
         state: The instance's state.
-        introduced: What a peer or the platform's table says of it.
+        announced: Its announcement by a peer, or its row in the platform's
+            table.
         now: Monotonic time.
 
     Returns:
         The member; None if it is this instance.
     """
-    name = introduced.instance
+    name = announced.instance
     if name == state.settings.instance:
         return None
     member = state.members.get(name)
     if member is None:
         member = Member(
             name,
-            introduced.datagrams,
-            introduced.calls,
+            announced.datagrams,
+            announced.calls,
             now,
-            data_centre=introduced.data_centre,
-            cores=introduced.cores,
+            data_centre=announced.data_centre,
+            cores=announced.cores,
         )
         state.members[name] = member
         logs.event("member_found", member=name)
     return member
 
 
-def _of(member: Member) -> datagrams.Announcement:
+def _announcement(member: Member) -> datagrams.Announcement:
     return datagrams.Announcement(
         member.instance,
         member.datagrams,
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -1,8 +1,8 @@
-"""The messages that instances send each other as datagrams.
+"""Messages that instances send each other as datagrams.
 
-A digest tells all of its sender's work, so that a lost one is made good by the
-next; a question asks an owner for a placement, an answer gives it. Lost ones
-are asked again.
+A digest holds all work in progress of its sender, so the next one makes up for
+a lost one. A placement request asks a shard owner where to place a request; if
+it or its reply is lost, the sender asks another owner.
 """
 
 import zlib
@@ -12,12 +12,12 @@
 from copperloom.decisions import inflight, placement_query, plans, spillover
 
 __all__ = [
-    "MOST_BYTES",
+    "MAX_BYTES",
     "PlacementReply",
     "Digest",
     "Announcement",
     "PlacementRequest",
-    "RawWork",
+    "WireWork",
     "decode",
     "decode_work",
     "encode",
@@ -26,21 +26,34 @@
     "make_reply",
 ]
 
-# Below the size that loopback and Ethernet links take in few fragments.
-MOST_BYTES = 60_000
-# Longer ones are packed: what does not fit one packet fills the links of those
-# that are asked for members by a whole fleet at once.
-_PACK_ABOVE_BYTES = 1_400
-_PACKING_LEVEL = 1
-# First byte of what zlib makes; none of the messages begins with it.
-_PACKED = 0x78
-# Far more than any message has; bounds what a forged one can make of itself.
-_MOST_UNPACKED_BYTES = 1_000_000
+# Keeps a datagram within the UDP limit of 64 KiB.
+MAX_BYTES = 60_000
+# Messages longer than one packet are compressed: a whole fleet may ask the same
+# instance for its members at once.
+_COMPRESS_ABOVE_BYTES = 1_400
+_COMPRESSION_LEVEL = 1
+# First byte of a zlib stream; no encoded message begins with it.
+_ZLIB_HEADER = 0x78
+# Bounds the memory that a forged datagram can take when decompressed.
+_MAX_UNPACKED_BYTES = 1_000_000
 _MS = 1000.0
 
 
-class RawWork(msgspec.Struct, array_like=True):
-    """A share of a request's work; times in milliseconds."""
+class WireWork(msgspec.Struct, array_like=True):
+    """One target's share of the work of a request, as it is sent.
+
+    Attributes:
+        target: Name of the target.
+        prefill_ms: Expected prefill time in milliseconds.
+        generates: Whether the target decodes the answer.
+        tokens: Memory held there, in tokens.
+        pause_ms: Inter-token objective in milliseconds.
+        age_ms: Milliseconds since the work began.
+        decoding: Whether the first token has come.
+        worth: Value of the request in units of a short prompt.
+        due_ms: Milliseconds from the start until the first token is due.
+        is_split: Whether several engines share the prefill.
+    """
 
     target: str
     prefill_ms: int
@@ -55,7 +68,15 @@
 
 
 class Announcement(msgspec.Struct, array_like=True):
-    """A member that is passed on to those that may not know it."""
+    """Name and addresses of an instance.
+
+    Attributes:
+        instance: Its name.
+        datagrams: IP:port for datagrams.
+        calls: IP:port for gRPC calls, "" if it takes none.
+        data_centre: Its data centre.
+        cores: Its share of processor time, in cores.
+    """
 
     instance: str
     datagrams: str
@@ -65,7 +86,25 @@
 
 
 class Digest(msgspec.Struct, array_like=True, tag="d"):
-    """What an instance has in progress and goes by."""
+    """The work in progress of an instance and the versions in force there.
+
+    Attributes:
+        sender: The instance that sends the digest.
+        boot: Random name of this run of its process.
+        sequence: Sequence number within that run.
+        routes_version: Version of its routes.
+        targets_version: Version of its targets.
+        draining: Whether it is stopping.
+        table_unreachable: Whether a table of the platform does not answer it.
+        work: All its work in progress.
+        penalties: Penalties of targets, by name.
+        announced: Members that the receiver may not know yet.
+        failures: Failures of targets that it has observed, by name.
+        requests_members: Whether the reply should name the members that matter
+            to the sender.
+        busy: Utilisation of the targets of its data centre, by service.
+        fleet_size: Number of instances, as far as it knows.
+    """
 
     sender: Announcement
     boot: str
@@ -74,17 +113,25 @@
     targets_version: int
     draining: bool
     table_unreachable: bool
-    work: list[RawWork]
+    work: list[WireWork]
     penalties: dict[str, float]
-    joined: list[Announcement]
+    announced: list[Announcement]
     failures: dict[str, float] = {}
-    wants_members: bool = False
+    requests_members: bool = False
     busy: dict[str, float] = {}
     fleet_size: int = 0
 
 
 class PlacementRequest(msgspec.Struct, array_like=True, tag="q"):
-    """Where should this request go?"""
+    """Asks a shard owner where to place a request.
+
+    Attributes:
+        asker: Name of the instance that asks.
+        datagrams: IP:port that the reply goes to.
+        sequence: Sequence number of the last digest that the instance sent.
+        number: Number that the reply repeats.
+        query: The request to place.
+    """
 
     asker: str
     datagrams: str
@@ -94,7 +141,21 @@
 
 
 class PlacementReply(msgspec.Struct, array_like=True, tag="a"):
-    """What becomes of the request that was asked about."""
+    """Reply of a shard owner to a placement request.
+
+    Attributes:
+        number: Number of the placement request.
+        owner: Name of the instance that decision.
+        plan: The plan, if there is one.
+        wait_s: Seconds after which to ask again; 0 if the plan applies now.
+        refused: Whether the request is refused.
+        targets: Number of usable targets that the owner knows.
+        targets_version: Version of the targets that it decision by.
+        staleness_s: Age of the oldest message of a peer that the decision
+            relies on, in seconds.
+        busy: Utilisation of the targets.
+        remote: Shard of another data centre that has more capacity, if any.
+    """
 
     number: int
     owner: str
@@ -113,35 +174,35 @@
 
 
 def encode(message: Digest | PlacementRequest | PlacementReply) -> bytes:
-    """Makes a datagram."""
+    """Encodes a message as a datagram."""
     data = _ENCODER.encode(message)
-    if len(data) <= _PACK_ABOVE_BYTES:
+    if len(data) <= _COMPRESS_ABOVE_BYTES:
         return data
-    return zlib.compress(data, _PACKING_LEVEL)
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 def decode(data: bytes) -> Digest | PlacementRequest | PlacementReply:
-    """Reads a datagram.
+    """Decodes a datagram.
 
     Raises:
-        msgspec.MsgspecError: It is none of the messages.
+        msgspec.MsgspecError: The datagram holds no valid message.
     """
-    return _DECODER.decode(_unpacked(data))
+    return _DECODER.decode(_decompress(data))
 
 
-def _unpacked(data: bytes) -> bytes:
-    if not data or data[0] != _PACKED:
+def _decompress(data: bytes) -> bytes:
+    if not data or data[0] != _ZLIB_HEADER:
         return data
     try:
-        unpacking = zlib.decompressobj()
-        return unpacking.decompress(data, _MOST_UNPACKED_BYTES)
+        decompressor = zlib.decompressobj()
+        return decompressor.decompress(data, _MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise msgspec.DecodeError(str(error)) from error
 
 
-def encode_work(work: inflight.Work, now: float) -> RawWork:
-    """Makes work independent of this instance's clock."""
-    return RawWork(
+def encode_work(work: inflight.Work, now: float) -> WireWork:
+    """Encodes work with times relative to now."""
+    return WireWork(
         target=work.target,
         prefill_ms=int(work.prefill_s * _MS),
         generates=work.generates,
@@ -155,55 +216,55 @@
     )
 
 
-def decode_work(raw: RawWork, now: float) -> inflight.Work:
-    """Puts a peer's work on this instance's clock."""
+def decode_work(wire: WireWork, now: float) -> inflight.Work:
+    """Decodes a peer's work to times of this instance's clock."""
     return inflight.Work(
-        target=raw.target,
-        prefill_s=raw.prefill_ms / _MS,
-        generates=raw.generates,
-        tokens=raw.tokens,
-        pause_aim_s=raw.pause_ms / _MS,
-        started_at=now - raw.age_ms / _MS,
-        decoding=raw.decoding,
-        worth=raw.worth,
-        due_s=raw.due_ms / _MS,
-        is_split=raw.is_split,
+        target=wire.target,
+        prefill_s=wire.prefill_ms / _MS,
+        generates=wire.generates,
+        tokens=wire.tokens,
+        pause_aim_s=wire.pause_ms / _MS,
+        started_at=now - wire.age_ms / _MS,
+        decoding=wire.decoding,
+        worth=wire.worth,
+        due_s=wire.due_ms / _MS,
+        is_split=wire.is_split,
     )
 
 
 def make_reply(
-    number: int, decided: placement_query.Decision
+    number: int, decision: placement_query.Decision
 ) -> PlacementReply:
-    """Makes the answer that gives a decision."""
-    chosen = decided.choice
+    """Builds the reply that holds a decision."""
+    chosen = decision.choice
     wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
     return PlacementReply(
         number=number,
-        owner=decided.decided_by,
+        owner=decision.decided_by,
         plan=chosen if isinstance(chosen, plans.Plan | None) else chosen.plan,
         wait_s=wait_s,
         refused=isinstance(chosen, plans.Refusal),
-        targets=decided.targets,
-        targets_version=decided.targets_version,
-        staleness_s=decided.staleness_s,
-        busy=decided.busy,
-        remote=decided.remote,
+        targets=decision.targets,
+        targets_version=decision.targets_version,
+        staleness_s=decision.staleness_s,
+        busy=decision.busy,
+        remote=decision.remote,
     )
 
 
-def read_reply(answer: PlacementReply) -> placement_query.Decision:
-    """Returns the decision that an answer gives."""
-    choice: plans.Choice = answer.plan
-    if answer.refused:
-        choice = plans.Refusal(answer.plan)
-    elif answer.wait_s:
-        choice = plans.Deferral(answer.wait_s, answer.plan)
+def read_reply(reply: PlacementReply) -> placement_query.Decision:
+    """Returns the decision that a reply holds."""
+    choice: plans.Choice = reply.plan
+    if reply.refused:
+        choice = plans.Refusal(reply.plan)
+    elif reply.wait_s:
+        choice = plans.Deferral(reply.wait_s, reply.plan)
     return placement_query.Decision(
         choice=choice,
-        targets=answer.targets,
-        targets_version=answer.targets_version,
-        decided_by=answer.owner,
-        staleness_s=answer.staleness_s,
-        busy=answer.busy,
-        remote=answer.remote,
+        targets=reply.targets,
+        targets_version=reply.targets_version,
+        decided_by=reply.owner,
+        staleness_s=reply.staleness_s,
+        busy=reply.busy,
+        remote=reply.remote,
     )
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -1,10 +1,10 @@
-"""Tells other instances what this one has in progress, and hears them.
+"""Exchanges digests of the work in progress with other instances.
 
-A digest goes out when work is added, some milliseconds apart at least; soon
-after other changes, and once or twice a second without any. In a small fleet
-every member gets it; in a larger one those that own what this instance uses,
-and they answer. Digests also bear the versions that the sender goes by: who is
-behind fetches what it lacks.
+A digest is sent when work is added, at most once in some milliseconds, shortly
+after other changes, and as a heartbeat. In a small fleet every member gets it;
+in a large one only the owners of the shards that the instance uses, and these
+reply. Digests also hold the versions of the sender's routes and targets, so
+that an instance that is behind can fetch the newer ones.
 """
 
 import asyncio
@@ -34,27 +34,28 @@
 
 __all__ = [
     "Gossip",
-    "ask_for_members",
+    "request_members",
     "announce_start",
     "open_gossip",
     "run",
     "send_digest",
 ]
 
-# Peers that place before they hear of a change choose the same engine.
+# Kept short: peers that place before they receive a change choose the same
+# engine.
 BATCH_S = 0.008
-# What has ended, or is read, matters to others no sooner than in an engine's
-# next pass; most of it goes out with the next work that is added.
+# Finished work and finished prefills affect no peer before an engine's next
+# iteration; most of them are sent along with the next work that is added.
 MINOR_CHANGE_DELAY_S = 0.05
 HEARTBEAT_S = 0.5
-# In a large fleet idle instances' beats are most of what is sent.
+# In a large fleet the heartbeats of idle instances dominate the traffic.
 LARGE_FLEET_HEARTBEAT_S = 1.0
-# An instance that knows no routes or targets yet tells the owners so that they
-# pass on what they read; the first word may find them not listening yet.
+# An instance without routes or targets sends digests to the owners to get their
+# versions; they may not listen yet when the first one comes.
 START_HEARTBEAT_S = 0.15
-# Owners tell so often which members are new and how busy targets are.
+# Interval at which owners report new members and the utilisation of targets.
 REPORT_S = 0.9
-# Instances that know of others' work answer a greeting within a round trip.
+# Time for the replies to the announcement of a start: a round trip.
 REPLY_WAIT_S = 0.03
 
 
@@ -63,25 +64,25 @@
 
     Attributes:
         state: The instance's state.
-        transport: Its transport.
-        fetches: The fetch of what peers have newer.
-        lesser: Timer of the datagram for lesser changes, if there are any.
-        told_versions: Versions of routes and targets told to all that listen.
-        reported_at: Monotonic time at which members were passed on last, and
-            how busy targets are.
+        transport: The transport, once the socket is open.
+        fetches: Fetches newer routes and targets from peers.
+        minor_change: Timer of the digest for minor changes, if one is due.
+        broadcast_versions: Versions of routes and targets broadcast last.
+        reported_at: Monotonic time at which new members and the utilisation of
+            targets were reported last.
     """
 
     def __init__(self, state: IngressState, address: str):
         self.state = state
         self.state.datagrams = address
         self.transport: asyncio.DatagramTransport | None = None
-        self.fetches = peer_fetch.CatchUp()
-        self.lesser: asyncio.TimerHandle | None = None
-        self.told_versions = (0, 0)
+        self.fetches = peer_fetch.PeerFetch()
+        self.minor_change: asyncio.TimerHandle | None = None
+        self.broadcast_versions = (0, 0)
         self.reported_at = float("-inf")
 
     def connection_made(self, transport) -> None:
-        """Keeps the transport."""
+        """Stores the transport and makes the socket usable."""
         self.transport = transport
         self.state.send = self.send
 
@@ -91,21 +92,21 @@
         self.transport.sendto(data, (host, int(port)))
 
     def datagram_received(self, data: bytes, addr) -> None:
-        """Takes a peer's message."""
+        """Decodes a peer's message and processes it."""
         try:
-            told = datagrams.decode(data)
+            message = datagrams.decode(data)
         except msgspec.MsgspecError as error:
             logs.event("peer_unreadable", peer=addr[0], error=str(error))
             return
-        if isinstance(told, datagrams.PlacementRequest):
-            placement_rpc.answer(self.state, told)
-        elif isinstance(told, datagrams.PlacementReply):
-            placement_rpc.take_answer(self.state, told)
-        elif told.sender.instance != self.state.settings.instance:
-            _hear(self, told)
+        if isinstance(message, datagrams.PlacementRequest):
+            placement_rpc.answer(self.state, message)
+        elif isinstance(message, datagrams.PlacementReply):
+            placement_rpc.take_answer(self.state, message)
+        elif message.sender.instance != self.state.settings.instance:
+            _apply_digest(self, message)
 
     def error_received(self, exc: Exception) -> None:
-        """A member's port is closed: it is stopping or has not begun."""
+        """Ignores closed ports: the member is stopping or not listening yet."""
 
 
 async def open_gossip(state: IngressState) -> Gossip:
@@ -121,161 +122,163 @@
 
 
 async def run(gossip: Gossip) -> None:
-    """Tells others for ever."""
+    """Sends digests until cancelled."""
     loop = asyncio.get_running_loop()
     state = gossip.state
-    state.inflight.on_change = functools.partial(_note_change, gossip)
+    state.inflight.on_change = functools.partial(_schedule_digest, gossip)
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_beat_s(state)):
+            async with asyncio.timeout(_heartbeat_s(state)):
                 await state.digest_due.wait()
         state.digest_due.clear()
         send_digest(gossip, loop.time())
         await asyncio.sleep(BATCH_S)
 
 
-def _beat_s(state: IngressState) -> float:
+def _heartbeat_s(state: IngressState) -> float:
     if not state.routing_known.is_set():
         return START_HEARTBEAT_S
     return LARGE_FLEET_HEARTBEAT_S if is_large_fleet(state) else HEARTBEAT_S
 
 
-def _note_change(gossip: Gossip, added: bool) -> None:
+def _schedule_digest(gossip: Gossip, added: bool) -> None:
     if added:
         gossip.state.digest_due.set()
-    elif gossip.lesser is None:
+    elif gossip.minor_change is None:
         loop = asyncio.get_running_loop()
-        gossip.lesser = loop.call_later(
+        gossip.minor_change = loop.call_later(
             MINOR_CHANGE_DELAY_S, gossip.state.digest_due.set
         )
 
 
 def send_digest(gossip: Gossip, now: float) -> None:
-    """Sends a digest to all that should hear of this instance now."""
+    """Sends a digest to all members that should receive it now."""
     state = gossip.state
-    if gossip.lesser is not None:
-        gossip.lesser.cancel()
-        gossip.lesser = None
+    if gossip.minor_change is not None:
+        gossip.minor_change.cancel()
+        gossip.minor_change = None
     inflight_table.drop_silent_peers(state.inflight, now)
-    recipients.forget_gone(state, now)
-    listeners = recipients.listeners(state, now)
-    joined: list[datagrams.Announcement] = []
+    recipients.remove_silent(state, now)
+    receivers = recipients.for_digest(state, now)
+    announced: list[datagrams.Announcement] = []
     busy: dict[str, float] = {}
-    if _reports(gossip, now):
-        joined = announcements.recent_members(state, now)
+    if _is_report_due(gossip, now):
+        announced = announcements.recent_members(state, now)
         busy = local_placement.busy_by_service(state, now)
-    data = _encode(gossip, now, joined, busy=busy)
-    _send(gossip, data, listeners, now)
-    if _has_news(gossip):
-        _pass_on(gossip, data, listeners, now)
+    data = _encode(gossip, now, announced, busy=busy)
+    _send(gossip, data, receivers, now)
+    if _has_new_versions(gossip):
+        _broadcast(gossip, data, receivers, now)
 
 
-def _has_news(gossip: Gossip) -> bool:
-    """Tells whether all that listen should hear at once, once for each news."""
+def _has_new_versions(gossip: Gossip) -> bool:
+    """Returns whether the versions need a broadcast, and records them as sent.
+
+    A draining instance broadcasts each digest.
+    """
     state = gossip.state
     versions = (state.table.version, state.targets.version)
-    is_new = versions != gossip.told_versions or state.draining
-    gossip.told_versions = versions
+    is_new = versions != gossip.broadcast_versions or state.draining
+    gossip.broadcast_versions = versions
     return is_new
 
 
-def _pass_on(
-    gossip: Gossip, data: bytes, told: list[Member], now: float
+def _broadcast(
+    gossip: Gossip, data: bytes, already_sent: list[Member], now: float
 ) -> None:
-    """Sends news to those that have not been told; they need not answer."""
-    names = {m.instance for m in told}
-    for member in recipients.followers(gossip.state, now):
+    """Sends a digest to the other live members, which need not reply."""
+    names = {m.instance for m in already_sent}
+    for member in recipients.for_broadcast(gossip.state, now):
         if member.instance not in names:
             gossip.send(data, member.datagrams)
             members.record_reply_sent(member, now)
 
 
-def _reports(gossip: Gossip, now: float) -> bool:
-    """Tells whether it is time for what only owners tell, once in a while."""
+def _is_report_due(gossip: Gossip, now: float) -> bool:
+    """Returns whether an owner's report is due, and restarts the interval."""
     if now - gossip.reported_at < REPORT_S:
         return False
     gossip.reported_at = now
-    return recipients.owns_home(gossip.state, now)
+    return recipients.owns_local_shards(gossip.state, now)
 
 
 async def announce_start(gossip: Gossip) -> None:
-    """Tells all that may know of others' work that this instance has started.
+    """Announces the start of this instance to those that know others' work.
 
-    They answer at once. An instance that placed without their word would take
-    all targets for idle, and so would all that start at the same moment.
+    They reply at once. Without their digests, instances that start at the same
+    moment would all assume that every target is idle.
     """
     state = gossip.state
     loop = asyncio.get_running_loop()
     now = loop.time()
     _send(
-        gossip, _encode(gossip, now, []), recipients.to_greet(state, now), now
+        gossip, _encode(gossip, now, []), recipients.for_start(state, now), now
     )
     await asyncio.sleep(REPLY_WAIT_S)
     state.peers_synced.set()
 
 
-def ask_for_members(
+def request_members(
     gossip: Gossip, addresses: Iterable[str], now: float
 ) -> None:
-    """Asks whoever is at some addresses for the members that it knows."""
-    data = _encode(gossip, now, [], wants_members=True)
+    """Asks the instances at some addresses for the members that they know."""
+    data = _encode(gossip, now, [], requests_members=True)
     for address in addresses:
         gossip.send(data, address)
 
 
 def _send(
-    gossip: Gossip, data: bytes, told: Iterable[Member], now: float
+    gossip: Gossip, data: bytes, receivers: Iterable[Member], now: float
 ) -> None:
-    """Sends a digest to members, which answer it in a large fleet."""
+    """Sends a digest to members, which reply in a large fleet only."""
     large = is_large_fleet(gossip.state)
-    note = members.record_sent if large else members.record_reply_sent
-    for member in told:
+    record = members.record_sent if large else members.record_reply_sent
+    for member in receivers:
         gossip.send(data, member.datagrams)
-        note(member, now)
+        record(member, now)
 
 
-def _answer(
-    gossip: Gossip, member: Member, told: datagrams.Digest, now: float
+def _reply(
+    gossip: Gossip, member: Member, digest: datagrams.Digest, now: float
 ) -> None:
-    """Tells one member, and whom it should know if it asks for that."""
-    if told.wants_members:
-        joined = announcements.relevant_members(gossip.state, member, now)
-    elif recipients.owns_home(gossip.state, now):
-        joined = announcements.recent_members(gossip.state, now)
+    """Replies to a member's digest, with the members that it asked for."""
+    if digest.requests_members:
+        announced = announcements.relevant_members(gossip.state, member, now)
+    elif recipients.owns_local_shards(gossip.state, now):
+        announced = announcements.recent_members(gossip.state, now)
     else:
-        joined = []
-    gossip.send(_encode(gossip, now, joined), member.datagrams)
+        announced = []
+    gossip.send(_encode(gossip, now, announced), member.datagrams)
     members.record_reply_sent(member, now)
 
 
 def _encode(
     gossip: Gossip,
     now: float,
-    joined: list[datagrams.Announcement],
+    announced: list[datagrams.Announcement],
     *,
-    wants_members: bool = False,
+    requests_members: bool = False,
     busy: dict[str, float] | None = None,
 ) -> bytes:
     gossip.state.sequence += 1
-    digest = _digest(gossip.state, now, joined)
-    digest.wants_members = wants_members
+    digest = _build_digest(gossip.state, now, announced)
+    digest.requests_members = requests_members
     if is_large_fleet(gossip.state):
         digest.failures = health.failures_to_report(gossip.state.health, now)
     digest.busy = busy or {}
     data = datagrams.encode(digest)
-    if len(data) > datagrams.MOST_BYTES:
-        # Versions and the state of the platform matter more than work that
-        # nobody could take in.
+    if len(data) > datagrams.MAX_BYTES:
+        # Versions and table state still fit without the work, and matter more.
         logs.event("digest_too_long", level="ERROR", bytes=len(data))
         digest.work.clear()
         data = datagrams.encode(digest)
     return data
 
 
-def _digest(
+def _build_digest(
     state: IngressState,
     now: float,
-    joined: list[datagrams.Announcement],
+    announced: list[datagrams.Announcement],
 ) -> datagrams.Digest:
     return datagrams.Digest(
         sender=announcements.own_announcement(state),
@@ -295,53 +298,56 @@
                 state.health, now
             ).items()
         },
-        joined=joined,
+        announced=announced,
         fleet_size=fleet_size(state),
     )
 
 
-def _hear(gossip: Gossip, told: datagrams.Digest) -> None:
+def _apply_digest(gossip: Gossip, digest: datagrams.Digest) -> None:
+    """Applies a peer's digest unless it is older than the last one."""
     state = gossip.state
     now = asyncio.get_running_loop().time()
-    work = tuple(datagrams.decode_work(w, now) for w in told.work)
-    heard = inflight_table.PeerWork(told.boot, told.sequence, now, work)
+    work = tuple(datagrams.decode_work(w, now) for w in digest.work)
+    update = inflight_table.PeerWork(digest.boot, digest.sequence, now, work)
     if not inflight_table.apply_update(
-        state.inflight, told.sender.instance, heard
+        state.inflight, digest.sender.instance, update
     ):
         return
-    health.apply_peer_penalties(state.peer_health, told.penalties, now)
+    health.apply_peer_penalties(state.peer_health, digest.penalties, now)
     health.apply_report(
-        state.failure_reports, told.sender.instance, told.failures, now
+        state.failure_reports, digest.sender.instance, digest.failures, now
     )
-    member = announcements.add_member(state, told.sender, now)
-    started = member.boot != told.boot
+    member = announcements.add_member(state, digest.sender, now)
+    started = member.boot != digest.boot
     if started:
-        logs.event("member_joined", member=member.instance, boot=told.boot)
-    _update(member, told)
-    state.reported_fleet_size = max(state.reported_fleet_size, told.fleet_size)
-    if told.busy:
-        member.busy = told.busy
+        logs.event("member_joined", member=member.instance, boot=digest.boot)
+    _update_member(member, digest)
+    state.reported_fleet_size = max(
+        state.reported_fleet_size, digest.fleet_size
+    )
+    if digest.busy:
+        member.busy = digest.busy
         member.busy_at = now
     members.record_received(member, now)
-    for introduced in told.joined:
-        announcements.add_member(state, introduced, now)
+    for announcement in digest.announced:
+        announcements.add_member(state, announcement, now)
     if work or state.inflight.own:
         state.changed.set()
-    wanted = started or told.wants_members
-    if wanted or recipients.owes_answer(
+    reply_expected = started or digest.requests_members
+    if reply_expected or recipients.needs_reply(
         state, member, now, members.REPLY_INTERVAL_S
     ):
-        _answer(gossip, member, told, now)
-    peer_fetch.note(gossip.fetches, state, member)
-
-
-def _update(member: Member, told: datagrams.Digest) -> None:
-    member.boot = told.boot
-    member.datagrams = told.sender.datagrams
-    member.calls = told.sender.calls
-    member.data_centre = told.sender.data_centre
-    member.cores = told.sender.cores
-    member.draining = told.draining
-    member.table_unreachable = told.table_unreachable
-    member.routes_version = told.routes_version
-    member.targets_version = told.targets_version
+        _reply(gossip, member, digest, now)
+    peer_fetch.fetch_if_behind(gossip.fetches, state, member)
+
+
+def _update_member(member: Member, digest: datagrams.Digest) -> None:
+    member.boot = digest.boot
+    member.datagrams = digest.sender.datagrams
+    member.calls = digest.sender.calls
+    member.data_centre = digest.sender.data_centre
+    member.cores = digest.sender.cores
+    member.draining = digest.draining
+    member.table_unreachable = digest.table_unreachable
+    member.routes_version = digest.routes_version
+    member.targets_version = digest.targets_version
--- a/copperloom/ingress/peer_fetch.py
+++ b/copperloom/ingress/peer_fetch.py
@@ -1,8 +1,8 @@
-"""Fetches from peers what they have newer: routes and targets.
+"""Fetches newer routes and targets from peers.
 
-A digest tells that a peer is ahead. One fetch runs at a time, from a member
-drawn among all that are ahead by then. Where none answers, the instance reads
-the platform's tables itself.
+A digest shows that its sender has a newer version. One fetch runs at a time,
+from a random member among those that are ahead. If none has helped, the
+instance reads the platform's tables itself.
 """
 
 import asyncio
@@ -13,34 +13,36 @@
 from copperloom.ingress.state import IngressState, Member, live_members
 from copperloom.peers import catalog
 
-__all__ = ["CatchUp", "note"]
+__all__ = ["PeerFetch", "fetch_if_behind"]
 
-# Peers that may give nothing before the tables are read: each takes up to a
-# second to be given up, and a change has to be in force within two or three.
-MOST_USELESS = 2
-# The tables are read also if peers put it off for so long.
-MOST_WAIT_S = 1.2
-# An instance that knows nothing yet asks for so long: no change is late there,
-# and hundreds that start at once would all turn to the tables.
-MOST_START_WAIT_S = 4.0
+# Peers that may bring no progress before the tables are read. Few, since each
+# may take a whole timeout, and changes have to be in force within seconds.
+MAX_NO_PROGRESS = 2
+# Time limit for fetches from peers, after which the tables are read.
+MAX_WAIT_S = 1.2
+# Time limit at a start. Longer, since no old routes are in force there, and
+# hundreds of instances that start at once would all read the tables.
+MAX_START_WAIT_S = 4.0
 
 
-class CatchUp:
-    """The fetch under way.
+class PeerFetch:
+    """The fetch in progress.
 
     Attributes:
-        task: It, if any was begun.
+        task: Its task; None before the first fetch.
     """
 
     def __init__(self):
         self.task: asyncio.Task | None = None
 
 
-def note(fetches: CatchUp, state: IngressState, member: Member) -> None:
-    """Begins a fetch if a member is ahead and none is under way."""
-    busy = fetches.task is not None and not fetches.task.done()
+def fetch_if_behind(
+    fetch: PeerFetch, state: IngressState, member: Member
+) -> None:
+    """Starts a fetch if a member is ahead and no fetch is running."""
+    busy = fetch.task is not None and not fetch.task.done()
     if not busy and _is_ahead(state, member):
-        fetches.task = asyncio.ensure_future(_catch_up(state))
+        fetch.task = asyncio.ensure_future(_fetch_newer(state))
 
 
 def _is_ahead(state: IngressState, member: Member) -> bool:
@@ -50,42 +52,46 @@
     )
 
 
-async def _catch_up(state: IngressState) -> None:
-    """Asks members until none is ahead; else has the tables read."""
+async def _fetch_newer(state: IngressState) -> None:
+    """Fetches until no member is ahead; requests a table read otherwise."""
     loop = asyncio.get_running_loop()
-    sharing = len(recipients.neighbours(state))
-    starts = not state.routing_known.is_set()
-    if not starts:
-        await asyncio.sleep(fetch_policy.fetch_delay_s(sharing, state.rng))
-        end = loop.time() + MOST_WAIT_S
+    fetchers = len(recipients.local_members(state))
+    is_starting = not state.routing_known.is_set()
+    if not is_starting:
+        await asyncio.sleep(fetch_policy.fetch_delay_s(fetchers, state.rng))
+        end = loop.time() + MAX_WAIT_S
     else:
-        # Its callers wait for it.
-        await asyncio.sleep(fetch_policy.start_delay_s(sharing, state.rng))
-        end = loop.time() + MOST_START_WAIT_S
-    useless: set[str] = set()
-    put_off = 0
-    while loop.time() < end and len(useless) < MOST_USELESS:
-        source = fetch_policy.choose_source(_sources(state), useless, state.rng)
+        # Callers wait for a starting instance, so its delay is shorter.
+        await asyncio.sleep(fetch_policy.start_delay_s(fetchers, state.rng))
+        end = loop.time() + MAX_START_WAIT_S
+    no_progress: set[str] = set()
+    deferrals = 0
+    while loop.time() < end and len(no_progress) < MAX_NO_PROGRESS:
+        source = fetch_policy.choose_source(
+            _sources(state), no_progress, state.rng
+        )
         if source is None:
             break
         before = (state.table.version, state.targets.version)
-        fetched = await _ask(state, source.calls)
+        fetched = await _fetch(state, source.calls)
         if not fetched.had_room and fetched.others:
-            await _ask(state, state.rng.choice(fetched.others))
+            await _fetch(state, state.rng.choice(fetched.others))
         if (state.table.version, state.targets.version) != before:
             continue
         if fetched.had_room:
-            useless.add(source.instance)
+            no_progress.add(source.instance)
         else:
-            await asyncio.sleep(fetch_policy.retry_delay_s(state.rng, put_off))
-            put_off += starts
+            await asyncio.sleep(
+                fetch_policy.retry_delay_s(state.rng, deferrals)
+            )
+            deferrals += is_starting
     if _sources(state):
-        logs.event("peers_gave_nothing", tried=",".join(sorted(useless)))
+        logs.event("peers_gave_nothing", tried=",".join(sorted(no_progress)))
         state.read_tables_now.set()
 
 
-async def _ask(state: IngressState, address: str) -> catalog.Fetched:
-    """Asks a member; one that does not answer has nothing to give."""
+async def _fetch(state: IngressState, address: str) -> catalog.Fetched:
+    """Fetches from a member; no answer counts as one that has nothing newer."""
     try:
         return await catalog.fetch(state, address)
     except exception.PeerUnavailableError as error:
--- a/copperloom/ingress/recipients.py
+++ b/copperloom/ingress/recipients.py
@@ -1,4 +1,4 @@
-"""Which members a digest goes to."""
+"""Selects the members that a digest goes to."""
 
 import math
 
@@ -8,99 +8,106 @@
 from copperloom.ingress.state import IngressState, Member, is_large_fleet
 
 __all__ = [
-    "followers",
-    "forget_gone",
-    "listeners",
-    "neighbours",
-    "owes_answer",
-    "owns_home",
-    "to_greet",
+    "for_broadcast",
+    "for_digest",
+    "for_start",
+    "local_members",
+    "needs_reply",
+    "owns_local_shards",
+    "remove_silent",
 ]
 
-# Members that were never heard are told for so long: they may be starting.
-_UNHEARD_S = 30.0
-# What has ended at a shard is told to its owners for so long.
+# Members that send nothing for this duration are removed; shorter silence is
+# normal for one that is starting.
+_SILENCE_LIMIT_S = 30.0
+# Owners of a shard get digests for this duration after the last request there
+# has ended, so that they learn of its end.
 _SHARD_KEPT_S = 2.0
-# Owners of each other data centre that an owner of this one speaks with: a
-# change that one of them has read is then known everywhere.
-_FAR_OWNERS = 2
+# Owners of each other data centre that an owner of this one sends digests to,
+# so that a change read by one of them spreads to all data centres.
+_REMOTE_OWNERS = 2
 
 
-def listeners(state: IngressState, now: float) -> list[Member]:
-    """Lists the members that hear of this instance's work, and answer.
+def for_digest(state: IngressState, now: float) -> list[Member]:
+    """Lists the members that this instance sends its digests to.
 
-    In a small fleet all; in a larger one those that own what it has work at,
-    and its data centre's; owners speak with those of other data centres, too.
+    In a small fleet these are all members. In a large one they are the owners
+    of the shards that it uses and of its own data centre; an owner also sends
+    to some owners of the other data centres.
     """
     if not is_large_fleet(state):
         return list(state.members.values())
-    told = {}
+    found = {}
     for shard in _shards(state, now):
         for member in _owners(state, shard, now):
-            told[member.instance] = member
-    if owns_home(state, now):
-        for data_centre in _far(state):
-            far = shards.Shard("", data_centre)
-            for member in _owners(state, far, now)[:_FAR_OWNERS]:
-                told[member.instance] = member
-    return list(told.values())
+            found[member.instance] = member
+    if owns_local_shards(state, now):
+        for data_centre in _remote_data_centres(state):
+            remote = shards.Shard("", data_centre)
+            for member in _owners(state, remote, now)[:_REMOTE_OWNERS]:
+                found[member.instance] = member
+    return list(found.values())
 
 
-def followers(state: IngressState, now: float) -> list[Member]:
-    """Lists the members that hear of news besides: all that spoke of late."""
+def for_broadcast(state: IngressState, now: float) -> list[Member]:
+    """Lists the members that new versions are broadcast to.
+
+    In a small fleet these are none, since all members get each digest.
+    """
     return members.live(state.members, now) if is_large_fleet(state) else []
 
 
-def neighbours(state: IngressState) -> list[Member]:
-    """Lists the members of the own data centre; in a small fleet all."""
+def local_members(state: IngressState) -> list[Member]:
+    """Lists the members of the own data centre; all in a small fleet."""
     if not is_large_fleet(state):
         return list(state.members.values())
     own = state.settings.data_centre
     return [m for m in state.members.values() if m.data_centre == own]
 
 
-def to_greet(state: IngressState, now: float) -> list[Member]:
-    """Lists the members that an instance greets which has just started.
+def for_start(state: IngressState, now: float) -> list[Member]:
+    """Lists the members that this instance announces its start to.
 
-    One that may own its data centre's shards has to hear all work there; the
-    others only have to be heard.
+    A possible owner of its data centre's shards needs the work of all
+    instances there; the others only have to send theirs to the owners.
     """
     if not is_large_fleet(state):
         return list(state.members.values())
-    order = placement_rpc.order_of(state, _home(state))
+    order = placement_rpc.order_of(state, _local_shard(state))
     own = state.settings.instance
     if own in order[: 2 * shards.OWNERS]:
-        return neighbours(state)
+        return local_members(state)
     return members.owners_to_notify(order, state.members, own, now)
 
 
-def owes_answer(
+def needs_reply(
     state: IngressState, member: Member, now: float, after_s: float
 ) -> bool:
-    """Tells whether a member that was just heard should hear something too.
+    """Returns whether a member that sent a digest should get one in return.
 
-    In a small fleet everyone is told anyway.
+    In a small fleet every member gets each digest anyway.
     """
     return is_large_fleet(state) and now - member.last_sent_at > after_s
 
 
-def forget_gone(state: IngressState, now: float) -> None:
-    """Drops members that have not been heard for long though they were told."""
+def remove_silent(state: IngressState, now: float) -> None:
+    """Removes members that have not replied for a long time."""
     for member in list(state.members.values()):
         known_at = max(member.discovered_at, member.last_received_at)
         expected = (
             not is_large_fleet(state) or member.unanswered_since < math.inf
         )
-        if expected and now - known_at > _UNHEARD_S:
+        if expected and now - known_at > _SILENCE_LIMIT_S:
             del state.members[member.instance]
             logs.event("member_gone", member=member.instance)
 
 
 def _shards(state: IngressState, now: float) -> set[shards.Shard]:
-    """Lists the shards whose owners should know of this instance's work."""
-    found = {_home(state)}
-    # Their owners may stand in other data centres, and are asked only if they
-    # have been heard of late; an instance that was idle would place alone.
+    """Returns the shards whose owners should know this instance's work."""
+    found = {_local_shard(state)}
+    # Owners in other data centres get placement queries only if they sent a
+    # message recently; without digests to them, an idle instance would have to
+    # place its next request alone.
     for service in state.targets.low_latency:
         usable = registry.usable_by_shard(state.targets, service, now)
         home = shards.home_shard(service, usable, state.settings.data_centre)
@@ -115,7 +122,7 @@
     return found
 
 
-def _home(state: IngressState) -> shards.Shard:
+def _local_shard(state: IngressState) -> shards.Shard:
     return shards.Shard("", state.settings.data_centre)
 
 
@@ -128,15 +135,15 @@
     )
 
 
-def owns_home(state: IngressState, now: float) -> bool:
-    """Tells whether this instance owns the shards of its data centre."""
-    order = placement_rpc.order_of(state, _home(state))
+def owns_local_shards(state: IngressState, now: float) -> bool:
+    """Returns whether this instance owns the shards of its data centre."""
+    order = placement_rpc.order_of(state, _local_shard(state))
     own = state.settings.instance
     return members.is_owner(
         order, state.members, own, now, listening_since=state.listening_since
     )
 
 
-def _far(state: IngressState) -> set[str]:
+def _remote_data_centres(state: IngressState) -> set[str]:
     found = {m.data_centre for m in state.members.values()}
     return found - {"", state.settings.data_centre}
--- a/copperloom/ingress/registration.py
+++ b/copperloom/ingress/registration.py
@@ -1,11 +1,12 @@
-"""Finds the other instances, and is found.
-
-Whoever starts greets the instances that its settings name; one that answers
-tells it the members that matter to it. Where none does, it reads a table of
-the platform that holds a row for each instance of a small fleet, and for each
-owner of a large one: a call for each of hundreds that start would be dear, and
-the owners know all others. A row is written once, and removed at a planned
-stop; those of instances that died stay until one of that name starts again.
+"""Discovers the other instances, and registers this one.
+
+An instance that starts contacts the seeds in its settings; a seed that replies
+names the members that matter to it. If none replies, the instance reads the
+platform's table of members. The table holds a row for each instance of a small
+fleet, but only for the shard owners of a large one: these know all others, and
+a call for each of hundreds of starting instances would be costly. A row is
+written once and removed at a planned stop; the row of an instance that crashed
+stays until an instance of the same name starts.
 """
 
 import asyncio
@@ -24,47 +25,47 @@
 __all__ = ["join", "leave"]
 
 _FIRST_RETRY_S = 0.2
-_MOST_RETRY_S = 2.0
-# Rows are read again so often: heals what a cut left. Whoever starts tells all
-# others of itself, so that nothing else hangs on it.
+_MAX_RETRY_S = 2.0
+# Interval between reads of the rows, which heal the membership after a network
+# partition. It can be long: an instance that starts announces itself to others.
 _REFRESH_S = 120.0
-# Whether this instance has come to own something is looked at so often.
-_LOOK_S = 3.0
-_LONELY_S = 0.3
-_LEAVE_S = 0.4
-# Those named in the settings answer within a round trip, if they run.
-MEETING_S = 0.02
-# When the whole system starts for the first time nobody waits for it, and all
-# start within a few seconds.
-FIRST_MEETING_S = 3.0
-_FIRST_PAUSE_S = 0.5
-
-
-async def join(told: gossip.Gossip) -> None:
-    """Finds the others, then keeps the own row in the table, for ever."""
-    state = told.state
-    await _meet(told)
+# Interval of the check whether this instance has become a shard owner.
+_OWNERSHIP_CHECK_S = 3.0
+_EMPTY_RETRY_S = 0.3
+_LEAVE_TIMEOUT_S = 0.4
+# Seeds that run reply within a round trip.
+SEED_REPLY_S = 0.02
+# At the first start of the whole system, seeds start within a few seconds of
+# each other, and no caller is waiting yet.
+FIRST_SEED_REPLY_S = 3.0
+_FIRST_SEED_RETRY_S = 0.5
+
+
+async def join(protocol: gossip.Gossip) -> None:
+    """Discovers members and registers this instance, until cancelled."""
+    state = protocol.state
+    await _contact_seeds(protocol)
     written = False
     failures = 0
-    lonely = 0
+    empty_rounds = 0
     while True:
         try:
-            if _wants_rows(state):
-                await _read(state)
+            if _should_read_rows(state):
+                await _read_rows(state)
             if not state.peers_synced.is_set():
-                await gossip.announce_start(told)
-            # Whether it owns anything is known once the others have answered.
+                await gossip.announce_start(protocol)
+            # Shard ownership is known once the other members have replied.
             if not written and _needs_row(state):
-                await _write(state)
+                await _write_row(state)
                 written = True
             failures = 0
-            lonely = lonely + 1 if _is_alone(state) else 0
-            await asyncio.sleep(_pause_s(state, lonely))
+            empty_rounds = empty_rounds + 1 if _is_alone(state) else 0
+            await asyncio.sleep(_check_delay_s(state, empty_rounds))
         except exception.CopperloomError as error:
             failures += 1
             logs.event("members_unread", code=error.code, failures=failures)
-            await _ask_seeds(told)
-            wait_s = min(_MOST_RETRY_S, _FIRST_RETRY_S * 2 ** min(failures, 6))
+            await _fetch_from_seeds(protocol)
+            wait_s = min(_MAX_RETRY_S, _FIRST_RETRY_S * 2 ** min(failures, 6))
             await asyncio.sleep(wait_s * state.rng.uniform(0.5, 1.0))
 
 
@@ -73,12 +74,11 @@
     return not members.live(state.members, now)
 
 
-def _wants_rows(state: IngressState) -> bool:
-    """Tells whether the rows may name members that matter and are not known.
+def _should_read_rows(state: IngressState) -> bool:
+    """Returns whether the rows may name unknown members that matter.
 
-    What a peer tells of the size of the fleet does not count: one that has
-    itself just started knows few, and its word alone would leave this instance
-    without the owners.
+    The fleet size that peers report does not count: a peer that has just
+    started reports a large fleet without knowing its shard owners.
     """
     knows_few = not shards.has_owners(len(state.members) + 1)
     return knows_few or _is_alone(state)
@@ -86,24 +86,24 @@
 
 def _needs_row(state: IngressState) -> bool:
     now = asyncio.get_running_loop().time()
-    return not is_large_fleet(state) or recipients.owns_home(state, now)
+    return not is_large_fleet(state) or recipients.owns_local_shards(state, now)
 
 
-def _pause_s(state: IngressState, lonely: int) -> float:
-    """Returns when to look again; soon where nobody was found.
+def _check_delay_s(state: IngressState, empty_rounds: int) -> float:
+    """Returns the seconds until the next check; few if no member was found.
 
-    Of several that start at the same moment each may have read the rows before
-    the others wrote theirs.
+    Of several instances that start at the same moment, each may have read the
+    rows before the others wrote theirs.
     """
-    pause_s = _LOOK_S if is_large_fleet(state) else _REFRESH_S
-    if lonely:
-        pause_s = min(_REFRESH_S, _LONELY_S * 2.0 ** min(lonely, 10))
-    return pause_s * state.rng.uniform(0.8, 1.2)
+    delay_s = _OWNERSHIP_CHECK_S if is_large_fleet(state) else _REFRESH_S
+    if empty_rounds:
+        delay_s = min(_REFRESH_S, _EMPTY_RETRY_S * 2.0 ** min(empty_rounds, 10))
+    return delay_s * state.rng.uniform(0.8, 1.2)
 
 
-async def _meet(told: gossip.Gossip) -> None:
-    """Greets the instances that the settings name."""
-    state = told.state
+async def _contact_seeds(protocol: gossip.Gossip) -> None:
+    """Asks the seeds in the settings for members."""
+    state = protocol.state
     loop = asyncio.get_running_loop()
     port = state.settings.internal_ports[0]
     addresses = [
@@ -112,13 +112,13 @@
         if seed != state.settings.peers_listen
     ]
     first = state.settings.is_first_start
-    end = loop.time() + (FIRST_MEETING_S if first else MEETING_S)
+    end = loop.time() + (FIRST_SEED_REPLY_S if first else SEED_REPLY_S)
     while loop.time() < end and (first or not state.members):
-        gossip.ask_for_members(told, addresses, loop.time())
-        await asyncio.sleep(_FIRST_PAUSE_S if first else MEETING_S / 2)
+        gossip.request_members(protocol, addresses, loop.time())
+        await asyncio.sleep(_FIRST_SEED_RETRY_S if first else SEED_REPLY_S / 2)
 
 
-async def _write(state: IngressState) -> None:
+async def _write_row(state: IngressState) -> None:
     own = state.settings
     row = catalog.MemberRow(
         own.instance,
@@ -137,10 +137,10 @@
     )
 
 
-async def _read(state: IngressState) -> None:
+async def _read_rows(state: IngressState) -> None:
     feed = await store.read_all(state.store, catalog.MEMBERS_TABLE)
     now = asyncio.get_running_loop().time()
-    known = len(state.members)
+    known_before = len(state.members)
     for stored in feed.rows:
         row = catalog.decode_member(stored.value)
         if row is not None:
@@ -148,14 +148,14 @@
             state.reported_fleet_size = max(
                 state.reported_fleet_size, row.fleet
             )
-    if len(state.members) > known:
-        # Of two that start at once, the one that finds the other speaks first.
+    if len(state.members) > known_before:
+        # The members found may not know this instance yet.
         state.digest_due.set()
 
 
-async def _ask_seeds(told: gossip.Gossip) -> None:
-    """Asks instances named in the settings while the table is away."""
-    state = told.state
+async def _fetch_from_seeds(protocol: gossip.Gossip) -> None:
+    """Fetches members from the seeds while the table is unavailable."""
+    state = protocol.state
     if state.members:
         return
     for address in state.settings.seeds:
@@ -166,13 +166,13 @@
         except exception.PeerUnavailableError as error:
             logs.event("peer_unavailable", peer=address, error=str(error))
     if state.members and not state.peers_synced.is_set():
-        await gossip.announce_start(told)
+        await gossip.announce_start(protocol)
 
 
 async def leave(state: IngressState) -> None:
-    """Removes the own row, if the platform answers at once."""
+    """Removes the own row, unless the platform takes too long to reply."""
     try:
-        async with asyncio.timeout(_LEAVE_S):
+        async with asyncio.timeout(_LEAVE_TIMEOUT_S):
             await store.remove_row(
                 state.store, catalog.MEMBERS_TABLE, state.settings.instance
             )
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -1,4 +1,4 @@
-"""What an instance holds in memory, shared by its filters and controllers."""
+"""In-memory state of an instance, shared by its filters and controllers."""
 
 import asyncio
 import itertools
@@ -36,56 +36,60 @@
 
 
 class IngressState:
-    """The state of one instance; nothing of it outlives the process.
+    """The in-memory state of one instance, lost when its process ends.
 
     Attributes:
-        settings: What the platform told this process.
+        settings: The settings that the platform gave this process.
         boot: Random name of this run of the process.
         store: The platform's table service.
-        table: The routes in force here.
-        routes_at: Monotonic time at which they were taken over.
-        routes_raw: The operators' document that `table` was made of.
-        routes_packed: The same packed for peers, "" until one asks for it.
+        table: The routes in force at this instance.
+        routes_at: Monotonic time at which `table` was applied.
+        routes_raw: The operators' document that `table` was decoded from.
+        routes_packed: `routes_raw` compressed for peers; empty until a peer
+            requests it.
         targets: The registered targets.
-        targets_packed: All registrations packed for peers, and their version.
-        targets_at: Monotonic time of their last change.
-        target_rows: Their registrations as the platform keeps them.
-        unreachable_tables: Tables that the platform does not give at present.
-        read_tables_now: Set when the tables should be read without waiting.
-        inflight: Work in progress at the targets.
-        digest_due: Set when peers should hear of a change at once.
-        sequence: Number of the last digest sent.
+        targets_packed: The version and the compressed form of all
+            registrations, for peers.
+        targets_at: Monotonic time of the last change of `targets`.
+        target_rows: The registrations as rows of the platform's table.
+        unreachable_tables: Names of the tables whose last read failed.
+        read_tables_now: Set when the tables should be read without delay.
+        inflight: Work in progress at the targets, of all instances.
+        digest_due: Set when a digest should be sent to peers at once.
+        sequence: Sequence number of the last digest sent.
         datagrams: IP:port of the datagram socket, once it is open.
         send: Sends a datagram to an IP:port.
-        pending_queries: Futures of questions to owners, by number.
-        query_ids: Source of those numbers.
-        shards_used: The shard that each request was placed on last, and when.
+        pending_queries: Futures of placement queries to shard owners, by
+            query number.
+        query_ids: Source of query numbers.
+        shards_used: For each request, the shard that it was last placed on
+            and the monotonic time of that.
         listening_since: Monotonic time at which this instance began to listen.
-        reported_fleet_size: Most instances that any peer, or a row of the
-            platform's table, has told of.
-        peers_synced: Set once those that know of others' work have been
-            greeted, and had the time to answer.
-        budget: The budget of repeats.
-        health: Failures of targets of late that were seen here, by name.
-        peer_health: Those that peers have told of.
-        failure_reports: Those that peers have met for which this instance
-            places, by target and peer.
+        reported_fleet_size: Largest fleet size that a peer or a row of the
+            platform's table has reported.
+        peers_synced: Set once the start has been announced to the members that
+            know of others' work, and they have had time to reply.
+        budget: The retry budget.
+        health: Recent failures of targets observed by this instance, by target.
+        peer_health: Penalties of targets reported by peers, by target.
+        failure_reports: Failures reported by the instances for which this one
+            places requests, by target and peer.
         members: Other instances, by name.
-        channels: Connections to them.
-        uplink: What is on its way to them.
-        sender: The client for targets.
+        channels: Connections to other instances.
+        uplink: Documents being sent to other instances.
+        sender: The HTTP client for targets.
         metrics: Counters and histograms.
-        rng: Source of draws and jitter.
+        rng: Source of random choices and jitter.
         background: Tasks that outlive their request.
         routing_known: Set once routes and targets are known.
-        hold_until: Monotonic time until which requests that come sooner are
-            held.
+        hold_until: Monotonic time until which requests are held while routes
+            and targets are not known yet.
         draining: Whether this instance is stopping.
-        drain_until: Monotonic time at which a stopping instance answers the
-            last requests; inf before.
-        active: Requests in progress.
-        exchanges: The same, by what is known of each.
-        changed: Set when placements may have become possible.
+        drain_until: Monotonic time that bounds the deadlines of requests on a
+            stopping instance; inf unless it is stopping.
+        active: Number of requests in progress.
+        exchanges: The requests in progress.
+        changed: Set when a placement may have become possible.
         stop: Set when the process is to end.
     """
 
@@ -136,31 +140,31 @@
         self._sequence = itertools.count(1)
 
     def next_name(self) -> str:
-        """Returns a name never used before, also not by an earlier boot."""
+        """Returns a name that is unique across runs of the process."""
         return f"{self.settings.instance}.{self.boot}.{next(self._sequence)}"
 
 
 def budget_policy(own: settings.PlatformSettings) -> budget.BudgetPolicy:
-    """Returns the bound of repeats that the platform's settings state."""
+    """Returns the retry budget policy of the platform's settings."""
     return budget.BudgetPolicy(
         own.retry_ratio, own.retry_window_s, own.retry_slack
     )
 
 
 def fleet_size(state: IngressState) -> int:
-    """Returns how many instances there are, as far as is known here."""
+    """Returns the number of instances, as far as this one knows."""
     return max(len(state.members) + 1, state.reported_fleet_size)
 
 
 def is_large_fleet(state: IngressState) -> bool:
-    """Tells whether owners place for the others, as far as is known here."""
+    """Returns whether shard owners place requests for other instances."""
     return shards.has_owners(fleet_size(state))
 
 
 def live_members(state: IngressState, now: float) -> list[Member]:
-    """Lists the other instances that were heard of late."""
+    """Lists the other instances that sent a message recently."""
     return members.live(state.members, now)
 
 
 def _discard(data: bytes, address: str) -> None:
-    """Stands in for the datagram socket until it is open."""
+    """Replaces `send` until the datagram socket is open."""
--- a/copperloom/ingress/tests/test_fleet_start.py
+++ b/copperloom/ingress/tests/test_fleet_start.py
@@ -1,4 +1,4 @@
-"""A large fleet whose instances all start at the same moment."""
+"""Tests a large fleet whose instances all start at the same moment."""
 
 import asyncio
 import dataclasses
@@ -14,19 +14,19 @@
 _OWNERS = 9
 _TARGETS = 600
 _PAGES = 2
-# Two of each data centre should read the targets, and one more may.
-_MOST_READERS = 9
+# Two instances of each data centre should read the targets; a third one may.
+_MAX_READERS = 9
 _LIMIT_S = 20.0
-_SLOWER = 8.0
-_SOONER_S = 0.3
-_SOON_S = 2.0
+_SLOWDOWN = 8.0
+_SEED_LEAD_S = 0.3
+_DISCOVERY_LIMIT_S = 2.0
 
 
 def _fleet(store: str) -> list[settings.PlatformSettings]:
     """Returns the settings of a fleet.
 
-    The first _OWNERS have more processor time than the others, so they own
-    their data centres; the seeds name the next one of each.
+    The first _OWNERS instances have more processor time and thus own the
+    shards of their data centres; the seeds are the next one of each.
     """
     fleet = [
         fixtures.own_settings(
@@ -42,7 +42,7 @@
 
 
 def _put_rows(system: fixtures.System, owners) -> None:
-    """Writes the rows that owners of an earlier run have left."""
+    """Writes the rows that the owners have left in an earlier run."""
     for own in owners:
         row = catalog.MemberRow(
             own.instance,
@@ -70,7 +70,7 @@
         system.store.put(catalog.TARGETS_TABLE, f"t{number}", row)
 
 
-async def _all_know(system: fixtures.System) -> None:
+async def _wait_for_tables(system: fixtures.System) -> None:
     await fixtures.until(
         lambda: all(
             f.entry.table.version and len(f.entry.targets.entries) == _TARGETS
@@ -82,34 +82,33 @@
 
 class FleetStartTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        # All instances share one loop, so each step takes as much longer.
-        for constant in ("FROM_PEERS_S", "_DRAWN_S"):
-            slower = getattr(table_watch, constant) * _SLOWER
-            patch = mock.patch.object(table_watch, constant, slower)
+        # All instances share one event loop, which slows each step down.
+        for constant in ("PEER_WAIT_S", "_READ_SPREAD_S"):
+            value = getattr(table_watch, constant) * _SLOWDOWN
+            patch = mock.patch.object(table_watch, constant, value)
             patch.start()
             self.addCleanup(patch.stop)
 
-    async def test_few_read_when_all_lost_power(self):
-        """All instances of a large fleet start, and each hears nobody yet.
+    async def test_few_instances_read_when_all_start_at_once(self):
+        """Guards against each instance reading all targets.
 
-        Each took itself for one of few, read all targets, and was asked for
-        them by the others: the links were full, and callers waited for half a
-        minute.
+        No instance knows a live member yet, so each may take the fleet for a
+        small one.
         """
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
         fleet = _fleet(system.store.address)
         _put_rows(system, fleet[:_OWNERS])
         await asyncio.gather(*(system.start_front(own) for own in fleet))
-        await _all_know(system)
+        await _wait_for_tables(system)
         pages = system.store.pages[catalog.TARGETS_TABLE]
-        self.assertLessEqual(pages, _MOST_READERS * _PAGES)
+        self.assertLessEqual(pages, _MAX_READERS * _PAGES)
 
-    async def test_instances_find_the_owners_whoever_answers_first(self):
-        """Seeds that have started a moment sooner know hardly anybody.
+    async def test_instances_find_the_owners_whichever_seed_replies(self):
+        """Guards against instances that know the fleet size but no owners.
 
-        They tell that the fleet is large; an instance that left it at that knew
-        no owner, and placed by the word of others that knew as little.
+        The seeds started just before and know hardly any members, though they
+        report a large fleet.
         """
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
@@ -117,7 +116,7 @@
         _put_rows(system, fleet[:_OWNERS])
         seeds = fleet[_OWNERS : _OWNERS + 3]
         await asyncio.gather(*(system.start_front(own) for own in seeds))
-        await asyncio.sleep(_SOONER_S)
+        await asyncio.sleep(_SEED_LEAD_S)
         rest = [own for own in fleet if own not in seeds]
         await asyncio.gather(*(system.start_front(own) for own in rest))
         owners = {own.instance for own in fleet[:_OWNERS]}
@@ -126,11 +125,11 @@
                 owners <= {*f.entry.members, f.entry.settings.instance}
                 for f in system.fronts
             ),
-            limit_s=_SOON_S,
+            limit_s=_DISCOVERY_LIMIT_S,
         )
 
-    async def test_few_read_when_the_owners_are_gone(self):
-        """The same, and the instances that used to read do not come back."""
+    async def test_few_instances_read_when_the_owners_are_gone(self):
+        """Guards against all instances reading if no watcher comes back."""
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
         fleet = _fleet(system.store.address)
@@ -138,6 +137,6 @@
         await asyncio.gather(
             *(system.start_front(own) for own in fleet[_OWNERS:])
         )
-        await _all_know(system)
+        await _wait_for_tables(system)
         pages = system.store.pages[catalog.TARGETS_TABLE]
         self.assertLess(pages, 0.75 * _PAGES * (_FLEET - _OWNERS))
--- a/copperloom/ingress/tests/test_gossip.py
+++ b/copperloom/ingress/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of their work, and when."""
+"""Tests when instances send digests of their work to each other."""
 
 import asyncio
 import unittest
@@ -8,13 +8,13 @@
 from copperloom.ingress.tests import fixtures
 
 _WORK = inflight.Work("engine-1", 0.1, True, 5000, 0.25, 0.0)
-# Turns of the loop that a task takes to notice an event and act on it.
-_TURNS = 5
-_BESIDE_S = 0.05
+# Cycles of the event loop that a task takes to react to an event.
+_LOOP_CYCLES = 5
+_MARGIN_S = 0.05
 
 
 class _Transport:
-    """Keeps what is sent."""
+    """Records the datagrams sent."""
 
     def __init__(self):
         self.sent = []
@@ -23,55 +23,54 @@
         self.sent.append((data, address))
 
 
-class TellTest(unittest.IsolatedAsyncioTestCase):
+class DigestScheduleTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         own = fixtures.own_settings("127.0.0.1", "127.0.0.1:1")
         self.entry = state.IngressState(own)
         now = asyncio.get_running_loop().time()
         peer = state.Member("peer", "127.0.0.2:17340", "", now)
         self.entry.members["peer"] = peer
-        told = gossip.Gossip(self.entry, "127.0.0.1:17340")
-        told.transport = self.transport = _Transport()
-        task = asyncio.ensure_future(gossip.run(told))
+        protocol = gossip.Gossip(self.entry, "127.0.0.1:17340")
+        protocol.transport = self.transport = _Transport()
+        task = asyncio.ensure_future(gossip.run(protocol))
         self.addCleanup(task.cancel)
-        await self._turns()
+        await self._run_loop()
 
-    async def _turns(self):
-        for _ in range(_TURNS):
+    async def _run_loop(self):
+        for _ in range(_LOOP_CYCLES):
             await asyncio.sleep(0)
 
-    async def test_change_is_told_at_once(self):
-        """Two instances place a prompt within some milliseconds.
+    async def test_added_work_is_sent_at_once(self):
+        """Guards against two instances taking the last slot of an engine.
 
-        The second one must know of the first: else both take the last slot of
-        one engine, and one caller waits there for seconds.
+        They place prompts within milliseconds of each other.
         """
         self.assertEqual(self.transport.sent, [])
         inflight_table.begin(self.entry.inflight, "q1", [_WORK])
-        await self._turns()
+        await self._run_loop()
         self.assertEqual(len(self.transport.sent), 1)
 
-    async def test_changes_that_follow_go_out_together(self):
-        """A crowd comes: a datagram for each request would cost too much."""
+    async def test_changes_in_quick_succession_share_a_digest(self):
+        """Guards against one datagram for each request of a burst."""
         inflight_table.begin(self.entry.inflight, "first", [_WORK])
-        await self._turns()
+        await self._run_loop()
         for number in range(10):
             inflight_table.begin(self.entry.inflight, f"q{number}", [_WORK])
-        await asyncio.sleep(_BESIDE_S)
+        await asyncio.sleep(_MARGIN_S)
         self.assertEqual(len(self.transport.sent), 2)
 
-    async def test_lesser_changes_go_out_soon(self):
-        """An answer ends: others may place there, but not this instant."""
+    async def test_minor_changes_are_sent_after_a_delay(self):
+        """Guards against a datagram at each first token and end of work."""
         inflight_table.begin(self.entry.inflight, "q1", [_WORK])
-        await asyncio.sleep(_BESIDE_S)
+        await asyncio.sleep(_MARGIN_S)
         self.transport.sent.clear()
         inflight_table.mark_decoding(self.entry.inflight, "q1")
         inflight_table.end(self.entry.inflight, "q1")
-        await self._turns()
+        await self._run_loop()
         self.assertEqual(self.transport.sent, [])
-        await asyncio.sleep(gossip.MINOR_CHANGE_DELAY_S + _BESIDE_S)
+        await asyncio.sleep(gossip.MINOR_CHANGE_DELAY_S + _MARGIN_S)
         self.assertEqual(len(self.transport.sent), 1)
 
-    async def test_nothing_is_told_without_a_change(self):
-        await asyncio.sleep(_BESIDE_S)
+    async def test_nothing_is_sent_without_a_change(self):
+        await asyncio.sleep(_MARGIN_S)
         self.assertEqual(self.transport.sent, [])
--- a/copperloom/ingress/tests/test_peer_fetch.py
+++ b/copperloom/ingress/tests/test_peer_fetch.py
@@ -1,4 +1,4 @@
-"""What is fetched from peers, and what their datagrams are taken for."""
+"""Tests fetches from peers, and digests that arrive out of order."""
 
 import asyncio
 import dataclasses
@@ -24,12 +24,11 @@
     return member
 
 
-class CatchUpTest(unittest.IsolatedAsyncioTestCase):
-    async def test_member_that_moves_on_is_asked_again(self):
-        """Versions come in quick succession from the only member ahead.
+class PeerFetchTest(unittest.IsolatedAsyncioTestCase):
+    async def test_member_is_asked_again_for_the_next_version(self):
+        """Guards against a table read while a member still makes progress.
 
-        While one is fetched the member gets the next; it is asked for that
-        one too, and the table is not read.
+        The only member ahead gets a new version during each fetch.
         """
         state = _state()
         member = _member(state, 2)
@@ -41,36 +40,33 @@
             return catalog.Fetched(had_room=True)
 
         with mock.patch.object(catalog, "fetch", fetch):
-            await peer_fetch._catch_up(state)
+            await peer_fetch._fetch_newer(state)
         self.assertEqual(state.table.version, 4)
         self.assertFalse(state.read_tables_now.is_set())
 
-    async def test_member_that_gives_nothing_is_not_asked_for_ever(self):
+    async def test_member_without_progress_is_asked_once(self):
         state = _state()
         _member(state, 2)
         fetch = mock.AsyncMock(return_value=catalog.Fetched(had_room=True))
         with mock.patch.object(catalog, "fetch", fetch):
-            await peer_fetch._catch_up(state)
+            await peer_fetch._fetch_newer(state)
         self.assertEqual(fetch.await_count, 1)
         self.assertTrue(state.read_tables_now.is_set())
 
 
 class LateDatagramTest(unittest.IsolatedAsyncioTestCase):
-    async def test_penalty_of_a_late_datagram_counts_not(self):
-        """Two datagrams overtake each other; the older bears a penalty.
-
-        What was true before must not be taken for what is true now.
-        """
+    async def test_penalty_of_a_late_digest_is_ignored(self):
+        """Guards against an old penalty from a digest that was overtaken."""
         state = _state()
-        told = gossip.Gossip(state, "127.0.0.1:9")
-        told.transport = mock.Mock()
+        protocol = gossip.Gossip(state, "127.0.0.1:9")
+        protocol.transport = mock.Mock()
         newer = _digest(sequence=2, penalties={})
         older = _digest(sequence=1, penalties={"t": 5.0})
-        gossip._hear(told, newer)
-        gossip._hear(told, older)
+        gossip._apply_digest(protocol, newer)
+        gossip._apply_digest(protocol, older)
         now = asyncio.get_running_loop().time()
-        heard = state.peer_health.get("t")
-        self.assertEqual(health.penalty(heard, now), 0.0)
+        reported = state.peer_health.get("t")
+        self.assertEqual(health.penalty(reported, now), 0.0)
 
 
 def _digest(sequence: int, penalties: dict[str, float]) -> datagrams.Digest:
@@ -84,5 +80,5 @@
         table_unreachable=False,
         work=[],
         penalties=penalties,
-        joined=[],
+        announced=[],
     )
--- a/copperloom/ingress/tests/test_watchers.py
+++ b/copperloom/ingress/tests/test_watchers.py
@@ -1,4 +1,4 @@
-"""Which instances follow the tables."""
+"""Tests which instances watch the tables."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class LastInstanceTest(unittest.TestCase):
-    def test_last_one_of_a_large_fleet_reads(self):
-        """All other members are gone; only rows tell that there were many.
+    def test_last_instance_of_a_large_fleet_watches(self):
+        """Guards against a last instance that never reads the tables.
 
-        It took its data centre for empty and never read the tables.
+        Only the reported fleet size shows that there were other members.
         """
         state = IngressState(fixtures.own_settings("127.0.0.1", "127.0.0.1:9"))
         state.reported_fleet_size = 100
--- a/copperloom/ingress/updates.py
+++ b/copperloom/ingress/updates.py
@@ -1,6 +1,6 @@
-"""Takes over what the platform or a peer tells of routes and targets.
+"""Applies routes and targets that come from the platform or a peer.
 
-Both come late and twice; only what is newer than what is known counts.
+Updates may come late and more than once, so only newer ones are applied.
 """
 
 import asyncio
@@ -12,15 +12,22 @@
 
 __all__ = ["apply_routes", "apply_targets"]
 
-# Changes that come together are logged one by one up to so many.
-_MOST_LOGGED = 100
+# Larger updates of targets are logged as one line with their number.
+_MAX_LOGGED = 100
 
 
 def apply_routes(state: IngressState, raw: bytes, source: str) -> bool:
-    """Takes over an operators' document if it is newer than what is known.
+    """Applies an operators' document if its version is higher.
 
-    Only a higher version is taken: what comes late, from the platform or a
-    peer, must not take back what callers have seen in force.
+    A late document must not revert routes that callers have seen in force.
+
+    Args:
+        state: The instance's state.
+        raw: The document.
+        source: Where it comes from, for the log.
+
+    Returns:
+        Whether the document was applied.
     """
     table = decoding.decode_table(raw)
     if table is None:
@@ -36,16 +43,16 @@
         source=source,
     )
     state.table = table
-    near = {
+    low_latency = {
         s.name
         for s in table.services.values()
         if shards.has_low_latency(s.engine)
     }
-    registry.set_low_latency(state.targets, frozenset(near))
+    registry.set_low_latency(state.targets, frozenset(low_latency))
     state.routes_at = asyncio.get_running_loop().time()
     state.routes_raw = raw
     state.routes_packed = b""
-    _note_change(state)
+    _signal_change(state)
     return True
 
 
@@ -57,14 +64,14 @@
     whole: bool,
     source: str,
 ) -> None:
-    """Takes over registrations, and logs what they change.
+    """Applies registrations, and logs what they change.
 
     Args:
         state: The instance's state.
         rows: All rows, or those that have changed.
-        version: Version that they are as of, not lower than the known one.
-        whole: Whether they are all there are.
-        source: Who told them, for the log.
+        version: Version of the rows, not lower than the known one.
+        whole: Whether these are all rows of the table.
+        source: Where they come from, for the log.
     """
     now = asyncio.get_running_loop().time()
     touched = [r.key for r in rows]
@@ -81,7 +88,7 @@
         started = registry.update(state.targets, changes, version, now)
     for entry in started:
         if before.get(entry.name) is not None:
-            # Peers may have told of work at one that is only new here.
+            # Reported work at a target that is only new here remains valid.
             inflight_table.drop_target(state.inflight, entry.name)
         state.health.pop(entry.name, None)
         state.peer_health.pop(entry.name, None)
@@ -91,10 +98,10 @@
             inflight_table.drop_target(state.inflight, name)
     _log_targets(state, before, source)
     state.targets_at = now
-    _note_change(state)
+    _signal_change(state)
 
 
-def _note_change(state: IngressState) -> None:
+def _signal_change(state: IngressState) -> None:
     if state.table.version and state.targets.entries:
         state.routing_known.set()
     state.digest_due.set()
@@ -102,10 +109,10 @@
 
 
 def _log_targets(state: IngressState, before: dict, source: str) -> None:
-    """Logs each target that has changed; many at once only by their number."""
+    """Logs each changed target, or only their number if they are many."""
     after = state.targets.entries
     changed = [n for n in sorted(before) if after.get(n) != before[n]]
-    if len(changed) > _MOST_LOGGED:
+    if len(changed) > _MAX_LOGGED:
         logs.event(
             "targets_adopted",
             changed=len(changed),
@@ -119,14 +126,14 @@
         logs.event(
             "target_changed",
             target=name,
-            state=_word(entry),
+            state=_state_name(entry),
             service=entry.service if entry else "",
             version=state.targets.version,
             source=source,
         )
 
 
-def _word(entry) -> str:
+def _state_name(entry) -> str:
     if entry is None:
         return "gone"
     return "draining" if entry.draining else "ready"
--- a/copperloom/ingress/watchers.py
+++ b/copperloom/ingress/watchers.py
@@ -1,4 +1,4 @@
-"""Which instances follow the platform's tables; the others hear from them."""
+"""Decides which instances watch the platform's tables for all others."""
 
 import math
 
@@ -7,28 +7,28 @@
 
 __all__ = ["is_watcher"]
 
-# So many instances follow the tables; the others hear of changes from them, and
-# each call is paid for. A table that turns a third of the instances away hardly
-# ever turns all of them away.
+# Number of instances that watch the tables and pass changes on. Few, since each
+# call is paid for; several, since the platform may refuse a part of them.
 WATCHERS = 5
 
 
 def is_watcher(state: IngressState, now: float) -> bool:
-    """Tells whether this instance is among those that follow the tables.
+    """Returns whether this instance is one of those that watch the tables.
 
-    The order is the same at all instances. Whoever says that the platform does
-    not answer it is passed over, and whoever hears nobody is the first. In a
-    large fleet they are owners in each data centre, whom all others there hear.
+    All instances rank the members in the same order. Those that report that
+    the platform does not answer are skipped; an instance without live members
+    ranks first. In a large fleet the watchers are shard owners in each data
+    centre, since all other instances there receive their digests.
     """
     shard = shards.Shard("")
-    readers = WATCHERS
+    watchers = WATCHERS
     if is_large_fleet(state):
-        if _owners_lost(state, now) >= shards.OWNERS:
+        if _count_cut_off_owners(state, now) >= shards.OWNERS:
             return False
         shard = shards.Shard("", state.settings.data_centre)
         data_centres = {m.data_centre for m in state.members.values()}
         data_centres.add(state.settings.data_centre)
-        readers = min(shards.OWNERS, math.ceil(WATCHERS / len(data_centres)))
+        watchers = min(shards.OWNERS, math.ceil(WATCHERS / len(data_centres)))
     reachable = {
         name: m for name, m in state.members.items() if not m.table_unreachable
     }
@@ -40,22 +40,22 @@
         reachable,
         own.instance,
         now,
-        owners=readers,
+        owners=watchers,
         listening_since=state.listening_since,
     )
 
 
-def _owners_lost(state: IngressState, now: float) -> int:
-    """Counts the owners of the own data centre that the platform leaves alone.
+def _count_cut_off_owners(state: IngressState, now: float) -> int:
+    """Counts the preceding local owners that the platform does not answer.
 
-    While the tables are away for all, each instance would take its turn after
-    those that say so, and hundreds would call a service that does not answer.
-    The owners go on asking, and tell the others once it is back.
+    During a full outage of the tables, every instance would in turn replace
+    those that report it, and hundreds would call a service that does not
+    answer. The owners keep calling it, and inform the others once it is back.
     """
     own = state.settings
     me = shards.Instance(own.instance, own.cores)
-    home = shards.Shard("", own.data_centre)
-    order = members.rank_owners(state.members, me, own.data_centre, home)
-    before = order[: order.index(own.instance)]
-    told = [state.members[name] for name in before]
-    return sum(m.table_unreachable and members.is_live(m, now) for m in told)
+    local_shard = shards.Shard("", own.data_centre)
+    order = members.rank_owners(state.members, me, own.data_centre, local_shard)
+    preceding = order[: order.index(own.instance)]
+    owners = [state.members[name] for name in preceding]
+    return sum(m.table_unreachable and members.is_live(m, now) for m in owners)
