--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -7,10 +7,10 @@
 Options:
   --settings FILE  INI file with settings of our own; defaults if not given.
 
-Where the instance stands and what it may use is in the file that the platform
-names in the environment. Stops gracefully on SIGTERM or SIGINT: first it tells
-that it is not ready, goes on accepting while the balancer learns that, then
-finishes the requests in progress and ends. SIGHUP reads the settings again.
+The platform's settings of the instance are in the file that an environment
+variable names. Stops gracefully on SIGTERM or SIGINT: it reports that it is not
+ready, accepts connections until the load balancer has noticed, then finishes
+the requests in progress and exits. SIGHUP reloads the platform's settings.
 """
 
 import asyncio
@@ -40,18 +40,19 @@
 
 __all__ = ["FrontService", "FrontSettings", "drain", "main", "reload"]
 
-# The balancer asks once a second and takes an instance out after two misses;
-# connections that it opened until then are on their way.
-LISTEN_ON_S = 2.6
-# Requests that came last are read within this time.
-LINGER_S = 0.3
-# Kept from the grace: ending takes 0.4 s (releases, sockets), and twice that on
-# an instance that is slow.
-RESERVE_S = 0.9
-# Memory that a last request reserved is given back within a round trip.
-RELEASE_S = 0.3
-# Requests that come sooner than routes and targets are held for so long after
-# a start: the table and peers give both well within it.
+# The load balancer probes once a second, removes an instance after two failed
+# probes, and may open connections until then.
+BALANCER_DELAY_S = 2.6
+# Requests on accepted connections arrive within this time: an instance that
+# has been idle for longer can stop.
+IDLE_S = 0.3
+# Part of the grace period kept for releases and for closing sockets, also on a
+# slow instance.
+CLOSE_RESERVE_S = 0.9
+# Timeout for releasing the memory reserved by the last requests.
+RELEASE_TIMEOUT_S = 0.3
+# Time after a start for which requests are held until routes and targets are
+# known; usually the tables or peers provide them sooner.
 START_HOLD_S = 0.5
 _POLL_S = 0.02
 _RESTART_S = 0.5
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogSection:
-    """What is logged."""
+    """Settings of the log."""
 
     level: str = settings.setting(
         "INFO",
@@ -70,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MetricsSection:
-    """Where metrics are served."""
+    """Settings of the metrics endpoint."""
 
     port: int = settings.setting(
         9464, "Port for metrics; 0 serves none.", low=0, high=65_535
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DecisionsSection:
-    """How requests are placed; for experiments, not for operation."""
+    """Settings of placement; for experiments, not for production."""
 
     disable: tuple[str, ...] = settings.setting(
         (),
@@ -98,13 +99,15 @@
 
 
 class FrontService(mode.Service):
-    """The instance as a service: start it, stop it gracefully.
+    """The service of one instance, with graceful start and stop.
 
     Attributes:
-        entry: What the instance holds in memory.
+        entry: The instance's state.
         metrics_address: IP:port for metrics, "" for none.
-        callers: A socket that listens for callers already, if there is one.
-        listeners: What is open, once started.
+        callers: An already listening socket for callers, if there is one.
+        listeners: The listeners for callers and metrics, once started.
+        calls: The server for peers' calls, once started; None if there is none.
+        gossip: The datagram socket, once started.
     """
 
     def __init__(
@@ -122,7 +125,7 @@
         self.gossip: gossip.Gossip | None = None
 
     async def on_start(self) -> None:
-        """Listens and starts the controllers."""
+        """Opens the listeners and starts the controllers."""
         state = self.entry
         state.listening_since = asyncio.get_running_loop().time()
         state.hold_until = state.listening_since + START_HOLD_S
@@ -146,19 +149,19 @@
         )
 
     async def on_stop(self) -> None:
-        """Drains, then closes everything."""
-        leaving = asyncio.ensure_future(registration.leave(self.entry))
+        """Drains the instance, then closes its listeners."""
+        deregistration = asyncio.ensure_future(registration.leave(self.entry))
         await drain(self.entry, self.listeners, self.gossip)
         if self.entry.background:
-            await asyncio.wait(self.entry.background, timeout=RELEASE_S)
-        await leaving
+            await asyncio.wait(self.entry.background, timeout=RELEASE_TIMEOUT_S)
+        await deregistration
         await server.close(self.listeners)
         if self.calls is not None:
             self.calls.close()
         logs.event("stopped", boot=self.entry.boot)
 
     async def on_shutdown(self) -> None:
-        """Closes the clients, once the controllers have ended."""
+        """Closes the clients after the controllers have ended."""
         self.gossip.transport.close()
         client.close(self.entry.channels)
         await sender.close(self.entry.sender)
@@ -166,10 +169,10 @@
 
 
 async def _keep_running(name: str, loop) -> None:
-    """Runs a controller's loop again after an unforeseen error.
+    """Restarts a controller's loop after an unexpected error.
 
-    One that ended would leave the instance serving with routes, targets or
-    members that never move.
+    Without it, the instance would go on serving with outdated routes, targets
+    or members.
     """
     while True:
         try:
@@ -187,25 +190,30 @@
 async def drain(
     state: IngressState,
     listeners: server.Listeners,
-    told: gossip.Gossip,
+    protocol: gossip.Gossip,
 ) -> None:
-    """Waits until this instance may end without cutting a request.
+    """Waits until this instance can stop without cutting off a request.
 
-    The balancer goes on sending for a while after readiness fails; an instance
-    that refused or closed at once would cut those requests. Then it takes no
-    new connections, and ends when nothing is in progress, at the latest
-    RESERVE_S before the platform kills it.
+    The load balancer sends requests for some time after readiness fails, so the
+    instance accepts connections for this time. Then it closes its listener, and
+    returns when no request is in progress, or CLOSE_RESERVE_S before the end of
+    the grace period.
+
+    Args:
+        state: The instance's state.
+        listeners: Its listeners.
+        protocol: Its datagram socket.
     """
     loop = asyncio.get_running_loop()
-    begun = loop.time()
-    end = begun + state.settings.grace_s - RESERVE_S
+    started_at = loop.time()
+    end = started_at + state.settings.grace_s - CLOSE_RESERVE_S
     stopping.begin(state, end)
     logs.event("draining", active=state.active)
-    gossip.send_digest(told, begun)
-    await asyncio.sleep(min(LISTEN_ON_S, state.settings.grace_s / 2))
+    gossip.send_digest(protocol, started_at)
+    await asyncio.sleep(min(BALANCER_DELAY_S, state.settings.grace_s / 2))
     await server.close_callers(listeners)
     quiet_since = loop.time()
-    while loop.time() < min(end, quiet_since + LINGER_S):
+    while loop.time() < min(end, quiet_since + IDLE_S):
         await asyncio.sleep(_POLL_S)
         if state.active:
             quiet_since = loop.time()
@@ -214,18 +222,18 @@
 
 
 def reload(state: IngressState, path: str) -> None:
-    """Reads the platform's settings again; listeners stay as they are."""
+    """Reloads the platform's settings; listeners stay as they are."""
     try:
-        fresh = platform_settings.load(path)
+        reloaded = platform_settings.load(path)
     except exception.SettingsError as error:
         logs.event(
             "reload_failed", level="ERROR", code=error.code, error=str(error)
         )
         return
-    state.settings = fresh
-    state.store.address = fresh.store
-    state.budget.terms = budget_policy(fresh)
-    logs.event("reloaded", store=fresh.store, grace_s=fresh.grace_s)
+    state.settings = reloaded
+    state.store.address = reloaded.store
+    state.budget.terms = budget_policy(reloaded)
+    logs.event("reloaded", store=reloaded.store, grace_s=reloaded.grace_s)
 
 
 async def _run(
@@ -251,8 +259,8 @@
     """Runs the program.
 
     Args:
-        argv: The arguments; None takes those of the process.
-        callers: A socket that listens for callers already, if there is one.
+        argv: The arguments; None for those of the process.
+        callers: An already listening socket for callers, if there is one.
     """
     args = docopt.docopt(__doc__, argv)
     own = settings.load_or_exit(args["--settings"], FrontSettings)
--- a/copperloom/daemons/tests/test_front.py
+++ b/copperloom/daemons/tests/test_front.py
@@ -1,4 +1,4 @@
-"""A new settings file is taken over; a spoiled one changes nothing."""
+"""Tests the reload of the platform's settings."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 from copperloom.platform import settings
 from copperloom.platform.standins import wire
 
-_GOOD = wire.instance_settings(
+_VALID = wire.instance_settings(
     "front-1",
     "127.0.0.1",
     (1, 2, 3),
@@ -22,14 +22,14 @@
 
 class ReloadTest(unittest.TestCase):
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = pathlib.Path(folder.name) / "settings.json"
-        self.path.write_text(json.dumps(_GOOD))
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = pathlib.Path(directory.name) / "settings.json"
+        self.path.write_text(json.dumps(_VALID))
         self.entry = state.IngressState(settings.load(str(self.path)))
 
-    def test_changes_are_in_force(self):
-        changed = _GOOD | {
+    def test_changed_settings_are_applied(self):
+        changed = _VALID | {
             "bounds": {"grace_s": 5.0, "retry_budget_ratio": 0.1},
             "platform": {"address": "10.0.0.2:80"},
             "unheard-of": {"field": 1},
@@ -40,12 +40,12 @@
         self.assertEqual(self.entry.store.address, "10.0.0.2:80")
         self.assertEqual(self.entry.budget.terms.ratio, 0.1)
 
-    def test_spoiled_file_changes_nothing(self):
-        wrong_type = json.dumps(_GOOD | {"listen": 5}).encode()
-        for raw in (b"", b"{", b"{}", b"\xff", wrong_type):
-            self.path.write_bytes(raw)
+    def test_invalid_file_changes_nothing(self):
+        wrong_type = json.dumps(_VALID | {"listen": 5}).encode()
+        for content in (b"", b"{", b"{}", b"\xff", wrong_type):
+            self.path.write_bytes(content)
             front.reload(self.entry, str(self.path))
             self.assertEqual(self.entry.settings.grace_s, 8.0)
 
-    def test_link_rate(self):
+    def test_link_rate_is_converted_to_bytes(self):
         self.assertEqual(self.entry.settings.link_bytes_s, 2_500_000.0)
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -152,7 +152,7 @@
 
 
 def send_digest(gossip: Gossip, now: float) -> None:
-    """Sends a digest to all members that should receive it now."""
+    """Sends a digest to the members that should get one now."""
     state = gossip.state
     if gossip.minor_change is not None:
         gossip.minor_change.cancel()
--- a/copperloom/ingress/peer_fetch.py
+++ b/copperloom/ingress/peer_fetch.py
@@ -74,8 +74,8 @@
             break
         before = (state.table.version, state.targets.version)
         fetched = await _fetch(state, source.calls)
-        if not fetched.had_room and fetched.others:
-            await _fetch(state, state.rng.choice(fetched.others))
+        if not fetched.had_room and fetched.alternatives:
+            await _fetch(state, state.rng.choice(fetched.alternatives))
         if (state.table.version, state.targets.version) != before:
             continue
         if fetched.had_room:
--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Routes, targets and members, through trouble with the platform's table."""
+"""Tests routes, targets and members under faults of the platform's table."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 
 class RoutesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_change_is_in_force_at_once_and_never_reverts(self):
+    async def test_change_is_applied_at_once_and_never_reverts(self):
         system = await fixtures.start_system(self, fronts=2)
         system.store.put("op", "config", fixtures.routes(7))
         entries = [f.entry for f in system.fronts]
@@ -24,18 +24,19 @@
 
     async def test_removed_key_is_refused(self):
         system = await fixtures.start_system(self, plain=1)
-        cut = fixtures.routes(2, tenants=[{"name": "lounge", "api_keys": []}])
-        system.store.put("op", "config", cut)
+        changed = fixtures.routes(
+            2, tenants=[{"name": "lounge", "api_keys": []}]
+        )
+        system.store.put("op", "config", changed)
         entry = system.fronts[0].entry
         await fixtures.until(lambda: entry.table.version == 2)
         answer = await fixtures.call(system, "/write/x")
         self.assertEqual(answer.status, 401)
 
     async def test_forgotten_history_is_read_again(self):
-        """The table drops its history while a feed waits.
+        """Guards against losing a change when the table drops its history.
 
-        The feed gets 410; the whole table is read again, and the change made
-        in between is there.
+        The waiting feed gets 410, and the whole table has to be read again.
         """
         system = await fixtures.start_system(self)
         entry = system.fronts[0].entry
@@ -44,10 +45,10 @@
         await fixtures.until(lambda: entry.table.version == 3)
 
     async def test_nothing_is_denied_before_routes_are_known(self):
-        """An instance starts while the table is away.
+        """Guards against 404 or 401 while the table is still unavailable.
 
-        It is not ready, and whoever comes all the same is told to come back:
-        it can't say that a route or key does not exist.
+        An instance without routes must not deny that a route or key exists; it
+        asks callers to retry.
         """
         system = await fixtures.start_system(self, fronts=0)
         system.store.down = 503
@@ -63,34 +64,34 @@
 
 
 class TargetsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_draining_target_gets_nothing_more(self):
+    async def test_draining_target_gets_no_more_requests(self):
         system = await fixtures.start_system(self, plain=2)
-        leaving = system.targets["plain-0"]
-        row = leaving.registration("plain", state="draining")
+        draining = system.targets["plain-0"]
+        row = draining.registration("plain", state="draining")
         system.store.put("servers", "plain-0", row)
         entries = system.fronts[0].entry.targets.entries
         await fixtures.until(lambda: entries["plain-0"].draining)
-        before = len(leaving.seen)
+        before = len(draining.seen)
         for _ in range(8):
             await fixtures.call(system, "/write/x")
-        self.assertEqual(len(leaving.seen), before)
+        self.assertEqual(len(draining.seen), before)
 
-    async def test_spoiled_rows_name_no_target(self):
-        """Another writer spoils rows; requests go to the sound ones only."""
+    async def test_invalid_rows_register_no_target(self):
+        """Guards against requests to targets whose rows are invalid."""
         system = await fixtures.start_system(self, engines=1, plain=1)
-        good = system.targets["plain-0"].registration("plain")
-        spoiled = [
-            {k: v for k, v in good.items() if k != "address"},
-            good | {"address": "127.0.0.1"},
-            good | {"address": "name.example:80"},
-            good | {"address": 5},
-            good | {"state": "asleep"},
-            good | {"slots": "many"},
-            good | {"slots": 0},
-            good | {"service": ["plain"]},
-            good | {"service": "unheard-of"},
+        valid = system.targets["plain-0"].registration("plain")
+        invalid = [
+            {k: v for k, v in valid.items() if k != "address"},
+            valid | {"address": "127.0.0.1"},
+            valid | {"address": "name.example:80"},
+            valid | {"address": 5},
+            valid | {"state": "asleep"},
+            valid | {"slots": "many"},
+            valid | {"slots": 0},
+            valid | {"service": ["plain"]},
+            valid | {"service": "unheard-of"},
         ]
-        for number, row in enumerate(spoiled):
+        for number, row in enumerate(invalid):
             system.store.put("servers", f"bad-{number}", row)
         system.store.put("servers", "bad-bytes", b"\x00\xff")
         await system.add_target("plain-9", "plain")
@@ -103,29 +104,28 @@
         ]
         self.assertEqual(sorted(usable), ["engine-0", "plain-0", "plain-9"])
 
-    async def test_same_name_with_a_later_start(self):
-        """A target starts again under its name, at another address.
+    async def test_restarted_target_replaces_the_earlier_one(self):
+        """Guards against a late row that reverts a target's restart.
 
-        It knows nothing of before, so what peers had there counts no more; a
-        late row of the earlier start changes nothing.
+        The target has started again under its name, at another address.
         """
         system = await fixtures.start_system(self, engines=1, plain=1)
         old = system.targets["plain-0"]
-        fresh = await system.add_target("plain-0", "plain", born=5)
+        restarted = await system.add_target("plain-0", "plain", born=5)
         entry = system.fronts[0].entry
         name = "plain-0"
         await fixtures.until(
-            lambda: entry.targets.entries[name].address == fresh.address
+            lambda: entry.targets.entries[name].address == restarted.address
         )
         system.store.put("servers", name, old.registration("plain", born=1))
         await fixtures.call(system, "/write/x")
-        self.assertEqual(len(fresh.seen), 1)
+        self.assertEqual(len(restarted.seen), 1)
         self.assertEqual(old.seen, [])
 
     async def test_lapsed_registrations_do_not_stop_service(self):
-        """The table loses all registrations while it is away.
+        """Guards against losing all targets when the table loses its rows.
 
-        Until they are written again, requests go where they went before.
+        Until targets register again, requests go to those known before.
         """
         system = await fixtures.start_system(self, engines=1, plain=1)
         entry = system.fronts[0].entry
@@ -140,64 +140,63 @@
         self.assertEqual(answer.status, 200)
 
 
-class TurnedAwayTest(unittest.IsolatedAsyncioTestCase):
-    async def test_peers_pass_changes_on(self):
-        """The table turns one instance away and serves the other.
+class RefusedInstanceTest(unittest.IsolatedAsyncioTestCase):
+    async def test_refused_instance_gets_changes_from_its_peer(self):
+        """Guards against stale routes and targets if the table refuses one.
 
-        A target drains and a key goes meanwhile. The instance that is turned
-        away hears of both from its peer, well within the time allowed.
+        The peer, which the table serves, has to pass on a drained target and a
+        removed key within the time allowed.
         """
         system = await fixtures.start_system(self, fronts=2, plain=1)
-        away = system.fronts[1].entry
-        # All calls come from one loopback address, so the instance is turned
-        # away by an address where nobody answers, and its feed is ended.
-        away.store.address = "127.0.0.1:9"
+        refused = system.fronts[1].entry
+        # All instances share a loopback address, so the table can't refuse one:
+        # it gets an address that nothing listens on, and its feed is ended.
+        refused.store.address = "127.0.0.1:9"
         system.store.forget_history()
         row = system.targets["plain-0"].registration("plain", state="draining")
         system.store.put("servers", "plain-0", row)
         system.store.put("op", "config", fixtures.routes(4))
         await fixtures.until(
             lambda: (
-                away.table.version == 4
-                and away.targets.entries["plain-0"].draining
+                refused.table.version == 4
+                and refused.targets.entries["plain-0"].draining
             ),
             limit_s=1.9,
         )
 
-    async def test_instance_that_starts_meanwhile_asks_its_seeds(self):
-        """One instance runs; another starts while the table is away."""
+    async def test_instance_that_starts_in_an_outage_asks_its_seeds(self):
+        """Guards against a start that fails while the table is unavailable."""
         system = await fixtures.start_system(self, fronts=1)
         system.store.down = 503
-        known = system.fronts[0].entry.settings.peers_listen
-        late = await system.add_front(seeds=(known,))
-        await fixtures.until(lambda: server.is_ready(late.entry))
-        self.assertEqual(late.entry.table.version, 1)
+        seed = system.fronts[0].entry.settings.peers_listen
+        added = await system.add_front(seeds=(seed,))
+        await fixtures.until(lambda: server.is_ready(added.entry))
+        self.assertEqual(added.entry.table.version, 1)
         answer = await fixtures.call(system, "/write/x", number=1)
         self.assertEqual(answer.status, 200)
 
-    async def test_peer_that_does_not_answer_is_not_waited_for(self):
-        """All peers that are ahead have links that are full.
+    async def test_table_is_read_if_no_peer_replies(self):
+        """Guards against waiting for peers that are ahead but do not reply.
 
-        The instance has heard of a change and gets no answer from them; it
-        reads the table itself, in time.
+        The instance has to read the table itself within the time allowed.
         """
         system = await fixtures.start_system(self, fronts=7, plain=1)
         await asyncio.sleep(0.7)
         now = asyncio.get_running_loop().time()
         entries = [f.entry for f in system.fronts]
-        late = [e for e in entries if not watchers.is_watcher(e, now)]
+        followers = [e for e in entries if not watchers.is_watcher(e, now)]
         for service in system.fronts:
             service.calls.close()
         system.store.put("op", "config", fixtures.routes(6))
         await fixtures.until(
-            lambda: all(e.table.version == 6 for e in late), limit_s=1.9
+            lambda: all(e.table.version == 6 for e in followers), limit_s=1.9
         )
 
-    async def test_peers_whose_links_are_full(self):
-        """Each instance's link has room for one document in ten seconds.
+    async def test_table_is_read_if_all_links_are_full(self):
+        """Guards against late changes when no peer has link capacity.
 
-        Whoever is put off asks others, then the table; all have the change in
-        time.
+        Each link carries one document in ten seconds. Instances that get none
+        from a peer ask other members, then read the table.
         """
         system = await fixtures.start_system(self, fronts=0, plain=1)
         for _ in range(8):
@@ -217,8 +216,8 @@
             lambda: all(e.table.version == 6 for e in entries), limit_s=1.9
         )
 
-    async def test_change_of_a_target_is_told_alone(self):
-        """Of many targets one changes; peers get that row, not all."""
+    async def test_only_the_changed_row_is_sent(self):
+        """Guards against sending all rows when one target changes."""
         system = await fixtures.start_system(self, fronts=7, plain=3)
         entries = [f.entry for f in system.fronts]
         await asyncio.sleep(0.7)
@@ -229,15 +228,15 @@
             lambda: all(e.targets.entries["plain-0"].draining for e in entries)
         )
         await asyncio.sleep(0.3)
-        got = [
+        received = [
             e.channels.bytes_in - b
             for e, b in zip(entries, before, strict=True)
         ]
-        self.assertLess(max(got), 700)
+        self.assertLess(max(received), 700)
 
 
 class MembersTest(unittest.IsolatedAsyncioTestCase):
-    async def test_members_see_each_others_work(self):
+    async def test_members_know_each_others_work(self):
         system = await fixtures.start_system(self, fronts=3, plain=1)
         for target in system.targets.values():
             target.pause_s = 0.5
@@ -245,7 +244,7 @@
         others = [f.entry for f in system.fronts[1:]]
         await fixtures.until(
             lambda: all(
-                any(told.work for told in e.inflight.peers.values())
+                any(peer.work for peer in e.inflight.peers.values())
                 for e in others
             )
         )
@@ -253,38 +252,38 @@
         await fixtures.until(
             lambda: (
                 not any(
-                    told.work
+                    peer.work
                     for e in others
-                    for told in e.inflight.peers.values()
+                    for peer in e.inflight.peers.values()
                 )
             )
         )
 
     async def test_calls_to_the_table_are_few(self):
-        """Nine instances start at once; each makes some calls, then waits."""
+        """Guards against many calls when all instances start at once."""
         system = await fixtures.start_system(self, fronts=9)
         calls = sum(system.store.calls.values())
         self.assertLessEqual(calls, 9 * 8)
         await asyncio.sleep(1.0)
-        waiting = sum(
+        watching = sum(
             watchers.is_watcher(f.entry, asyncio.get_running_loop().time())
             for f in system.fronts
         )
-        self.assertEqual(waiting, watchers.WATCHERS)
+        self.assertEqual(watching, watchers.WATCHERS)
 
-    async def test_others_take_over_from_readers_that_are_turned_away(self):
-        """The table turns all instances away that follow it.
+    async def test_refused_watchers_are_replaced(self):
+        """Guards against stale routes if the table refuses all watchers.
 
-        They say so; others follow in their place, and all hear of a change
-        from them within the time allowed.
+        They report it, so that other instances watch the table in their place
+        and pass the change on within the time allowed.
         """
         system = await fixtures.start_system(self, fronts=7, plain=1)
         await asyncio.sleep(0.7)
         now = asyncio.get_running_loop().time()
         entries = [f.entry for f in system.fronts]
-        reading = [e for e in entries if watchers.is_watcher(e, now)]
-        self.assertEqual(len(reading), watchers.WATCHERS)
-        for entry in reading:
+        watching = [e for e in entries if watchers.is_watcher(e, now)]
+        self.assertEqual(len(watching), watchers.WATCHERS)
+        for entry in watching:
             entry.store.address = "127.0.0.1:9"
         system.store.forget_history()
         await asyncio.sleep(0.2)
--- a/copperloom/peers/__init__.py
+++ b/copperloom/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between entries."""
+"""Messages and gRPC services between instances."""
--- a/copperloom/peers/catalog.py
+++ b/copperloom/peers/catalog.py
@@ -1,9 +1,8 @@
-"""Passes routes, targets and members on between instances.
+"""Transfers routes, targets and members between instances.
 
-Made for the many instances that do not read the platform's table themselves,
-for one that the table turns away while it serves the others, and for one that
-starts while the table is away: a peer that has a newer version gives it, and
-the instance goes by it as if the table had.
+Most instances do not read the platform's tables themselves, and one may be
+refused by the platform or start while it is unavailable. They fetch a newer
+version from a peer, and apply it as if it came from the tables.
 """
 
 import asyncio
@@ -23,24 +22,23 @@
 
 __all__ = ["Fetched", "fetch", "serve"]
 
-# A round trip and some ten KB; a peer that takes longer is not well.
-_CALL_S = 1.0
-# Documents of 1,850 routes shrink from 465 to 37 KB in 1 ms; higher levels
-# take longer for nothing.
-_PACKING_LEVEL = 1
+# A round trip and the transfer of some ten KB; a slower peer is likely faulty.
+_CALL_TIMEOUT_S = 1.0
+# Higher levels take longer and hardly make the documents smaller.
+_COMPRESSION_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetched:
-    """What came of asking a peer.
+    """The result of a fetch from a peer.
 
     Attributes:
-        had_room: Whether its link had room for all that it has newer.
-        others: IP:port of members that it named instead.
+        had_room: Whether its link had capacity for all that it has newer.
+        alternatives: IP:port of members that it named instead.
     """
 
     had_room: bool
-    others: tuple[str, ...] = ()
+    alternatives: tuple[str, ...] = ()
 
 
 class _Targets(msgspec.Struct):
@@ -53,51 +51,53 @@
         self.state = state
 
     async def Read(self, stream) -> None:  # noqa: N802
-        asked = await stream.recv_message()
-        reply = _reply(self.state, asked)
+        request = await stream.recv_message()
+        reply = _reply(self.state, request)
         await stream.send_message(reply)
         if reply.routes or reply.targets:
-            fetch_policy.record_recipient(self.state.uplink, asked.address)
+            fetch_policy.record_recipient(self.state.uplink, request.address)
 
 
-def _reply(state: IngressState, asked) -> peers_pb2.CatalogReply:
+def _reply(state: IngressState, request) -> peers_pb2.CatalogReply:
     reply = peers_pb2.CatalogReply(
         routes_version=state.table.version,
         targets_version=state.targets.version,
     )
-    if asked.wants_members:
-        reply.members = msgspec.json.encode(_members(state))
-    # Targets first: the time in which one that leaves may still get work runs.
-    if asked.targets_version < state.targets.version:
-        packed = _packed_targets(state, asked.targets_version)
-        reply.targets = _if_room(state, packed)
-    if asked.routes_version < state.table.version:
-        reply.routes = _if_room(state, _packed_routes(state))
-    if not _is_whole(reply, asked):
-        named = fetch_policy.alternatives(
-            state.uplink, asked.address, state.rng
+    if request.wants_members:
+        reply.members = msgspec.json.encode(_member_rows(state))
+    # Targets first: draining targets must soon get no more requests.
+    if request.targets_version < state.targets.version:
+        packed = _packed_targets(state, request.targets_version)
+        reply.targets = _if_capacity(state, packed)
+    if request.routes_version < state.table.version:
+        reply.routes = _if_capacity(state, _packed_routes(state))
+    if not _is_complete(reply, request):
+        alternatives = fetch_policy.alternatives(
+            state.uplink, request.address, state.rng
         )
-        reply.sources.extend(named)
+        reply.sources.extend(alternatives)
     return reply
 
 
-def _if_room(state: IngressState, packed: bytes) -> bytes:
-    """Returns a document if the link has room for it now, else nothing."""
-    size_s = len(packed) / state.settings.link_bytes_s
+def _if_capacity(state: IngressState, packed: bytes) -> bytes:
+    """Returns a document, or nothing if the link has no capacity for it now."""
+    transfer_s = len(packed) / state.settings.link_bytes_s
     now = asyncio.get_running_loop().time()
-    return packed if fetch_policy.try_send(state.uplink, size_s, now) else b""
+    return (
+        packed if fetch_policy.try_send(state.uplink, transfer_s, now) else b""
+    )
 
 
-def _is_whole(reply, asked) -> bool:
-    """Tells whether a reply holds all that its sender has newer."""
+def _is_complete(reply, request) -> bool:
+    """Returns whether a reply holds all that its sender has newer."""
     has_targets = (
-        reply.targets or reply.targets_version <= asked.targets_version
+        reply.targets or reply.targets_version <= request.targets_version
     )
-    has_routes = reply.routes or reply.routes_version <= asked.routes_version
+    has_routes = reply.routes or reply.routes_version <= request.routes_version
     return bool(has_targets and has_routes)
 
 
-def _members(state: IngressState) -> list[catalog.MemberRow]:
+def _member_rows(state: IngressState) -> list[catalog.MemberRow]:
     return [
         catalog.MemberRow(
             m.instance, "", m.datagrams, m.calls, m.data_centre, m.cores
@@ -108,30 +108,33 @@
 
 def _packed_routes(state: IngressState) -> bytes:
     if not state.routes_packed:
-        state.routes_packed = zlib.compress(state.routes_raw, _PACKING_LEVEL)
+        state.routes_packed = zlib.compress(
+            state.routes_raw, _COMPRESSION_LEVEL
+        )
     return state.routes_packed
 
 
 def _packed_targets(state: IngressState, after: int) -> bytes:
-    """Packs the registrations that changed after a version.
+    """Compresses the registrations that changed after a version.
 
-    The whole table is packed once for all that start at the same moment.
+    The compressed whole table is cached for instances that start at the same
+    moment.
     """
     version = state.targets.version
     if after < state.target_rows.floor:
-        known, packed = state.targets_packed
-        if known == version:
+        cached_version, packed = state.targets_packed
+        if cached_version == version:
             return packed
     changed = rowlog.since(state.target_rows, after)
-    told = _Targets(changed.whole, list(changed.rows))
-    packed = zlib.compress(msgspec.msgpack.encode(told), _PACKING_LEVEL)
+    targets = _Targets(changed.whole, list(changed.rows))
+    packed = zlib.compress(msgspec.msgpack.encode(targets), _COMPRESSION_LEVEL)
     if changed.whole:
         state.targets_packed = (version, packed)
     return packed
 
 
 async def serve(state: IngressState) -> grpclib.server.Server | None:
-    """Serves peers; None if this instance has no address for it."""
+    """Serves peers; returns None if this instance has no address for them."""
     address = state.settings.peers_listen
     if not address:
         return None
@@ -144,15 +147,15 @@
 
 
 async def fetch(state: IngressState, address: str) -> Fetched:
-    """Takes over what a peer has newer.
+    """Fetches what a peer has newer, and applies it.
 
     Returns:
-        Whether it gave all of it, and whom it named if it did not.
+        Whether the peer sent all of it, and the members that it named if not.
 
     Raises:
-        copperloom.exception.PeerUnavailableError: No answer.
+        copperloom.exception.PeerUnavailableError: The peer did not reply.
     """
-    asked = peers_pb2.CatalogRequest(
+    request = peers_pb2.CatalogRequest(
         routes_version=state.table.version,
         targets_version=state.targets.version,
         wants_members=not state.members,
@@ -162,20 +165,20 @@
         state.channels,
         address,
         "Read",
-        asked,
-        timeout_s=_CALL_S,
+        request,
+        timeout_s=_CALL_TIMEOUT_S,
         stub=peers_grpc.CatalogStub,
     )
     if reply.targets and reply.targets_version > state.targets.version:
-        _take_targets(state, reply, address)
+        _apply_targets(state, reply, address)
     if reply.routes:
-        _take_routes(state, reply.routes, address)
+        _apply_routes(state, reply.routes, address)
     if reply.members:
-        _take_members(state, reply.members)
-    return Fetched(_is_whole(reply, asked), tuple(reply.sources))
+        _add_members(state, reply.members)
+    return Fetched(_is_complete(reply, request), tuple(reply.sources))
 
 
-def _take_routes(state: IngressState, packed: bytes, address: str) -> None:
+def _apply_routes(state: IngressState, packed: bytes, address: str) -> None:
     try:
         raw = zlib.decompress(packed)
     except zlib.error as error:
@@ -185,9 +188,9 @@
         state.routes_packed = packed
 
 
-def _take_targets(state: IngressState, reply, address: str) -> None:
+def _apply_targets(state: IngressState, reply, address: str) -> None:
     try:
-        told = msgspec.msgpack.decode(
+        targets = msgspec.msgpack.decode(
             zlib.decompress(reply.targets), type=_Targets
         )
     except (zlib.error, msgspec.MsgspecError) as error:
@@ -195,14 +198,14 @@
         return
     updates.apply_targets(
         state,
-        told.rows,
+        targets.rows,
         reply.targets_version,
-        whole=told.whole,
+        whole=targets.whole,
         source=address,
     )
 
 
-def _take_members(state: IngressState, raw: bytes) -> None:
+def _add_members(state: IngressState, raw: bytes) -> None:
     try:
         rows = msgspec.json.decode(raw, type=list[catalog.MemberRow])
     except msgspec.MsgspecError as error:
--- a/copperloom/peers/client.py
+++ b/copperloom/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls to other entries, over connections that are kept."""
+"""Calls other instances over persistent connections."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 
     Attributes:
         open: Channels by address.
-        bytes_out: Bytes of messages sent to peers and back to them.
-        bytes_in: Bytes of messages that came from peers.
+        bytes_out: Bytes of requests and replies sent to peers.
+        bytes_in: Bytes of requests and replies received from peers.
     """
 
     def __init__(self):
@@ -43,22 +43,22 @@
         channels: The connections.
         address: IP:port of the peer.
         method: Name of the method.
-        message: Its request.
-        timeout_s: Time limit.
-        stub: Class of the service that has the method.
+        message: The request.
+        timeout_s: Timeout in seconds.
+        stub: Client class of the service that has the method.
 
     Returns:
         The reply.
 
     Raises:
-        copperloom.exception.PeerUnavailableError: No answer in time; the call
-            may have had its effect.
+        copperloom.exception.PeerUnavailableError: No reply within the timeout;
+            the peer may still have processed the call.
     """
     service = stub(_channel(channels, address))
     channels.bytes_out += message.ByteSize()
     try:
-        # A bound of its own: the library's deadline does not cover the time
-        # that a connection to a silent address takes.
+        # A separate timeout, since the library's deadline does not cover the
+        # connection attempt.
         async with asyncio.timeout(timeout_s):
             reply = await getattr(service, method)(message, timeout=timeout_s)
     except (
@@ -80,25 +80,25 @@
 
 
 def prune(channels: Channels, addresses: set[str]) -> None:
-    """Closes the connections to other addresses than these."""
+    """Closes the connections to all addresses but the given ones."""
     for address in channels.open.keys() - addresses:
         _drop(channels, address)
 
 
 def _channel(channels: Channels, address: str) -> grpclib.client.Channel:
-    found = channels.open.get(address)
-    if found is None:
+    channel = channels.open.get(address)
+    if channel is None:
         host, _, port = address.rpartition(":")
-        found = grpclib.client.Channel(host, int(port))
-        channels.open[address] = found
-    return found
+        channel = grpclib.client.Channel(host, int(port))
+        channels.open[address] = channel
+    return channel
 
 
 def _drop(channels: Channels, address: str) -> None:
     """Closes a connection after a failure.
 
-    A connection whose other end froze or was cut takes requests in silence
-    until the kernel gives it up; a new one fails or works at once.
+    A connection to a frozen or unreachable peer accepts requests without a
+    reply until the kernel drops it; a new one works or fails at once.
     """
     channel = channels.open.pop(address, None)
     if channel is not None:
--- a/copperloom/peers/digest.py
+++ b/copperloom/peers/digest.py
@@ -1,4 +1,4 @@
-"""The digest that entries exchange: what it holds and how it is read."""
+"""Builds and interprets the digests that instances exchange."""
 
 from copperloom.decisions import scheduler, target_drain
 from copperloom.peers import peers_pb2
@@ -6,20 +6,20 @@
 __all__ = ["NEVER_MS", "add_peers", "confirmed_at", "make"]
 
 NEVER_MS = 2**32 - 1
-# The digest goes to a few peers each half second and has to fit the budget
-# for control: the targets with most work matter most for placing.
-_MOST_LOADS = 12
-_MOST_LEAVING = 20
-_MOST_DEMANDS = 8
-_MOST_PEERS = 8
+# Bounds the size of a digest, which goes to several peers at short intervals.
+# The targets with the most work matter most for placement.
+_MAX_LOADS = 12
+_MAX_DEPARTURES = 20
+_MAX_DEMANDS = 8
+_MAX_PEERS = 8
 
 
 def make(state, now: float) -> peers_pb2.Digest:
-    """Makes this entry's digest.
+    """Builds the digest of this instance.
 
     Args:
-        state: The entry's state.
-        now: Monotonic seconds.
+        state: The instance's state.
+        now: Monotonic time in seconds.
     """
     own = state.settings.entry
     return peers_pb2.Digest(
@@ -38,17 +38,27 @@
 
 
 def add_peers(
-    digest: peers_pb2.Digest, state, asked: peers_pb2.Digest
+    digest: peers_pb2.Digest, state, request: peers_pb2.Digest
 ) -> peers_pb2.Digest:
-    """Adds a few members for an entry that knows fewer than this one.
+    """Adds a few members to a digest for a peer that knows fewer of them.
 
-    An entry that starts while the platform's list is out of reach learns the
-    others from those that know its address and ask it.
+    An instance that starts while the platform's list is unavailable discovers
+    the others through those that know its address and call it.
+
+    Args:
+        digest: The reply to the peer.
+        state: The instance's state.
+        request: The peer's digest.
+
+    Returns:
+        The reply with the members.
     """
-    if asked.known_members >= digest.known_members:
+    if request.known_members >= digest.known_members:
         return digest
-    others = [m for m in state.members.values() if m.instance != asked.instance]
-    count = min(_MOST_PEERS, len(others))
+    others = [
+        m for m in state.members.values() if m.instance != request.instance
+    ]
+    count = min(_MAX_PEERS, len(others))
     for member in state.membership.random.sample(others, count):
         digest.peers.add(
             instance=member.instance,
@@ -58,21 +68,25 @@
     return digest
 
 
-def confirmed_at(reply: peers_pb2.Digest, asked_at: float) -> float:
-    """Returns when a reply's version was proved the newest.
+def confirmed_at(reply: peers_pb2.Digest, requested_at: float) -> float:
+    """Returns the time up to which a reply proves its version the newest.
+
+    The age in the reply was determined after the request was sent, so the
+    result is never too late, however long the reply took.
 
-    The peer's age was right at some time after it was asked, so counting back
-    from the asking is never too late, however long the reply took.
+    Args:
+        reply: The peer's digest.
+        requested_at: Monotonic time at which the request was sent.
     """
     if reply.confirmed_age_ms == NEVER_MS:
         return float("-inf")
-    return asked_at - reply.confirmed_age_ms / 1000
+    return requested_at - reply.confirmed_age_ms / 1000
 
 
 def _age_ms(state, now: float) -> int:
     if not state.cfg_loaded or state.confirmed_at == float("-inf"):
         return NEVER_MS
-    # Rounded up: an age told too short would prove too much.
+    # Rounded up: too short an age would prove too much.
     return min(NEVER_MS, max(0, int((now - state.confirmed_at) * 1000) + 1))
 
 
@@ -81,24 +95,24 @@
     newest = sorted(marks.items(), key=lambda pair: -pair[1])
     return [
         peers_pb2.Departure(target=name, version=version)
-        for name, version in newest[:_MOST_LEAVING]
+        for name, version in newest[:_MAX_DEPARTURES]
     ]
 
 
 def _loads(state) -> list[peers_pb2.TargetLoad]:
     backlog = scheduler.backlog(state.sched)
-    most = sorted(backlog.items(), key=lambda pair: -pair[1][0])
+    largest = sorted(backlog.items(), key=lambda pair: -pair[1][0])
     return [
         peers_pb2.TargetLoad(target=name, streams=n, prefill_tokens=tokens)
-        for name, (n, tokens) in most[:_MOST_LOADS]
+        for name, (n, tokens) in largest[:_MAX_LOADS]
     ]
 
 
 def _demand(state, now: float) -> list[peers_pb2.Demand]:
-    """Returns the greatest demands; small ones change nobody's share much."""
+    """Returns the largest demands; small ones hardly change any share."""
     demand = scheduler.demand(state.sched, now)
-    most = sorted(demand.items(), key=lambda pair: -pair[1])
+    largest = sorted(demand.items(), key=lambda pair: -pair[1])
     return [
         peers_pb2.Demand(organisation=name, tokens_per_s=rate)
-        for name, rate in most[:_MOST_DEMANDS]
+        for name, rate in largest[:_MAX_DEMANDS]
     ]
--- a/copperloom/peers/server.py
+++ b/copperloom/peers/server.py
@@ -1,4 +1,4 @@
-"""Serves other entries."""
+"""Serves the calls of other instances."""
 
 import asyncio
 import socket
@@ -19,11 +19,11 @@
 
 
 class PeerServer:
-    """A listening server and this entry's calls to its peers.
+    """The gRPC server for peers.
 
     Attributes:
         server: The library's server.
-        service: The calls that it serves.
+        service: The implementation of its methods.
     """
 
     def __init__(self, server: grpclib.server.Server, service: "_Peers"):
@@ -31,16 +31,16 @@
         self.service = service
 
     def close(self) -> None:
-        """Stops listening, and refuses calls on connections still open.
+        """Stops listening, and refuses calls on open connections.
 
-        The library leaves them open; a peer that used one would go on hearing
-        an entry that has stopped.
+        The library leaves them open, so that a peer could still get replies of
+        an instance that has stopped.
         """
         self.service.closed = True
         self.server.close()
 
     async def wait_closed(self) -> None:
-        """Waits until calls from and to peers have ended."""
+        """Waits until the calls from peers and to them have ended."""
         await self.server.wait_closed()
         await membership.close(self.service.state)
 
@@ -51,54 +51,58 @@
         self.closed = False
 
     async def Exchange(self, stream) -> None:  # noqa: N802
-        told = await self.receive(stream)
+        request = await self.receive(stream)
         now = asyncio.get_running_loop().time()
-        digest_exchange.note_request(self.state, told, now)
+        digest_exchange.note_request(self.state, request, now)
         reply = digest.make(self.state, now)
-        await self.send(stream, digest.add_peers(reply, self.state, told), told)
+        await self.send(
+            stream, digest.add_peers(reply, self.state, request), request
+        )
 
     async def Reserve(self, stream) -> None:  # noqa: N802
-        asked = await self.receive(stream)
+        request = await self.receive(stream)
         now = asyncio.get_running_loop().time()
         await self.send(
-            stream, reservation_owners.grant(self.state, asked, now), asked
+            stream, reservation_owners.grant(self.state, request, now), request
         )
 
     async def Release(self, stream) -> None:  # noqa: N802
-        asked = await self.receive(stream)
-        reservation_owners.give_back(self.state, asked)
-        await self.send(stream, peers_pb2.ReleaseReply(), asked)
+        request = await self.receive(stream)
+        reservation_owners.give_back(self.state, request)
+        await self.send(stream, peers_pb2.ReleaseReply(), request)
 
     async def Fetch(self, stream) -> None:  # noqa: N802
-        asked = await self.receive(stream)
-        await self.send(stream, config_fetch.reply_to(self.state, asked), asked)
+        request = await self.receive(stream)
+        await self.send(
+            stream, config_fetch.reply_to(self.state, request), request
+        )
 
     async def receive(self, stream):
         if self.closed:
             raise grpclib.GRPCError(grpclib.const.Status.UNAVAILABLE)
         return await stream.recv_message()
 
-    async def send(self, stream, reply, asked) -> None:
+    async def send(self, stream, reply, request) -> None:
         channels = self.state.membership.channels
-        channels.bytes_in += asked.ByteSize()
+        channels.bytes_in += request.ByteSize()
         channels.bytes_out += reply.ByteSize()
         await stream.send_message(reply)
 
 
 async def serve(state) -> tuple[PeerServer, str]:
-    """Listens for other entries.
+    """Starts the server for peers.
 
     Returns:
-        The server, and the address (IP:port) that others are told.
+        The server, and the address (IP:port) that peers call.
     """
     host, _, port = state.settings.entry.peers_listen.rpartition(":")
     listener = socket.create_server((host, int(port)))
     listener.setblocking(False)
     state.peers_address = "{}:{}".format(*listener.getsockname()[:2])
     channels = state.membership.channels
-    counts = state.metrics.peer_bytes
-    counts.labels("in").set_function(lambda: channels.bytes_in)
-    counts.labels("out").set_function(lambda: channels.bytes_out)
+    byte_counts = state.metrics.peer_bytes
+    byte_counts.labels("in").set_function(lambda: channels.bytes_in)
+    byte_counts.labels("out").set_function(lambda: channels.bytes_out)
     service = _Peers(state)
     server = grpclib.server.Server([service])
     await server.start(sock=listener)
