--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -145,12 +145,12 @@
 
     Attributes:
         number: Number of the placement request.
-        owner: Name of the instance that decision.
+        owner: Name of the instance that decided.
         plan: The plan, if there is one.
-        wait_s: Seconds after which to ask again; 0 if the plan applies now.
+        wait_s: Seconds until the request is placed again; 0 if not deferred.
         refused: Whether the request is refused.
         targets: Number of usable targets that the owner knows.
-        targets_version: Version of the targets that it decision by.
+        targets_version: Version of the targets that the decision is based on.
         staleness_s: Age of the oldest message of a peer that the decision
             relies on, in seconds.
         busy: Utilisation of the targets.
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -41,8 +41,8 @@
     "send_digest",
 ]
 
-# Kept short: peers that place before they receive a change choose the same
-# engine.
+# Shortest interval between digests. Peers that place before they receive a
+# change choose the same engine.
 BATCH_S = 0.008
 # Finished work and finished prefills affect no peer before an engine's next
 # iteration; most of them are sent along with the next work that is added.
--- a/copperloom/ingress/peer_fetch.py
+++ b/copperloom/ingress/peer_fetch.py
@@ -91,7 +91,7 @@
 
 
 async def _fetch(state: IngressState, address: str) -> catalog.Fetched:
-    """Fetches from a member; no answer counts as one that has nothing newer."""
+    """Fetches from a member; a failed call counts as no progress."""
     try:
         return await catalog.fetch(state, address)
     except exception.PeerUnavailableError as error:
--- a/copperloom/ingress/recipients.py
+++ b/copperloom/ingress/recipients.py
@@ -94,10 +94,10 @@
     """Removes members that have not replied for a long time."""
     for member in list(state.members.values()):
         known_at = max(member.discovered_at, member.last_received_at)
-        expected = (
+        is_expected = (
             not is_large_fleet(state) or member.unanswered_since < math.inf
         )
-        if expected and now - known_at > _SILENCE_LIMIT_S:
+        if is_expected and now - known_at > _SILENCE_LIMIT_S:
             del state.members[member.instance]
             logs.event("member_gone", member=member.instance)
 
--- a/copperloom/ingress/table_watch.py
+++ b/copperloom/ingress/table_watch.py
@@ -130,8 +130,8 @@
     """
     jitter = 1.0 + state.rng.uniform(-_JITTER, _JITTER)
     loop = asyncio.get_running_loop()
-    fleet = max(1.0, (len(state.members) + 1) / POLL_BASE_FLEET)
-    poll_at = loop.time() + POLL_S * fleet * jitter
+    scale = max(1.0, (len(state.members) + 1) / POLL_BASE_FLEET)
+    poll_at = loop.time() + POLL_S * scale * jitter
     while loop.time() < poll_at:
         if watchers.is_watcher(state, loop.time()):
             return FEED_WAIT_S * jitter
--- a/copperloom/ingress/watchers.py
+++ b/copperloom/ingress/watchers.py
@@ -8,7 +8,7 @@
 __all__ = ["is_watcher"]
 
 # Number of instances that watch the tables and pass changes on. Few, since each
-# call is paid for; several, since the platform may refuse a part of them.
+# call is paid for; several, since the platform may refuse some of them.
 WATCHERS = 5
 
 
