--- a/copperloom/controllers/__init__.py
+++ b/copperloom/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Loops that bring seen state to wanted state."""
+"""Control loops that reconcile the observed state with the desired state."""
--- a/copperloom/controllers/changes.py
+++ b/copperloom/controllers/changes.py
@@ -1,7 +1,7 @@
-"""Makes one change of the configuration, and finds out whether it was made.
+"""Commits changes of the configuration and determines their outcome.
 
-The head row is written by changes only, so its row version is the version of
-the configuration. The condition on it makes a transaction idempotent: of two
+Only changes write the head row, so its row version is the version of the
+configuration. The condition on it makes a transaction idempotent: of two
 copies of one change at most one takes effect.
 """
 
@@ -22,7 +22,7 @@
 AUDIT_PREFIX = "audit/"
 _CALL_S = 2.0
 _RETRY_S = 0.1
-_MOST_RETRY_S = 1.0
+_MAX_RETRY_S = 1.0
 
 
 def change_key(version: int) -> str:
@@ -43,39 +43,45 @@
     wall_time_s: float,
     timeout_s: float,
 ) -> int:
-    """Makes a change, conditional on the version that the operator saw.
+    """Commits a change on condition that the version seen is the newest.
 
     Args:
         platform: The platform.
-        cfg: The newest configuration here, to check the change against.
+        cfg: The newest configuration of this entry; the change is validated
+            against it.
         puts: Entities to add or replace, by key.
         deletes: Keys to remove.
-        operator: Who asks.
-        note: Their reason.
-        seen_version: The version that the change builds on.
-        nonce: Random text that names this change; the same text and version
-            may be sent again, through any entry, and make one change only.
-        wall_time_s: Seconds since the epoch, for people only.
-        timeout_s: Longest wait for an outcome that is certain.
+        operator: Name of the operator who requests the change.
+        note: The operator's reason, for the audit row.
+        seen_version: Version of the configuration that the change builds on.
+        nonce: Random text that identifies this change. A request with the same
+            nonce and version may be repeated, through any entry, and takes
+            effect once.
+        wall_time_s: Seconds since the epoch, for display only.
+        timeout_s: Longest wait for a certain outcome, in seconds.
 
     Returns:
-        The version that the change made.
+        The version that the change created.
 
     Raises:
-        copperloom.exception.MalformedRequestError: It is not valid.
+        copperloom.exception.MalformedRequestError: The change is invalid.
         copperloom.exception.StaleConfigurationError: The version seen is
             newer than `cfg`.
-        copperloom.exception.ChangeLostError: Another change came first.
-        copperloom.exception.ChangeUnknownError: It may or may not be made.
+        copperloom.exception.ChangeLostError: Another change was committed
+            first, and this one took no effect.
+        copperloom.exception.ChangeUnknownError: The change may or may not have
+            taken effect.
         copperloom.exception.PlatformDownError: Nothing took effect.
         copperloom.exception.RateLimitedError: Nothing took effect.
     """
     if cfg.version < seen_version:
         raise exception.StaleConfigurationError(
-            f"this entry has version {cfg.version}, not {seen_version} yet"
+            f"this entry has version {cfg.version}, but the change builds on "
+            f"version {seen_version}, which it has not received yet"
         )
     if cfg.version == seen_version:
-        # An older version can only lose, or be this change sent again.
+        # A change to an older version needs no validation: it either conflicts
+        # or repeats a change that was committed.
         validation.check(cfg, puts, deletes)
     change = configuration.Change(
         version=seen_version + 1,
@@ -89,22 +95,24 @@
     deadline = time.monotonic() + timeout_s
     await _commit(platform, change, deadline)
     event("change_made", version=change.version, operator=operator, nonce=nonce)
-    await _snapshot(platform, cfg, change)
+    await _save_snapshot(platform, cfg, change)
     return change.version
 
 
 def _stamp(puts, version: int) -> tuple[tuple[str, dict], ...]:
-    """Writes into admitted targets the version that admits them."""
+    """Sets `admitted_version` in the admitted targets."""
     return tuple(
         (
             key,
-            _stamp_one(value, version) if key.startswith("target/") else value,
+            _stamp_target(value, version)
+            if key.startswith("target/")
+            else value,
         )
         for key, value in puts
     )
 
 
-def _stamp_one(value: dict, version: int) -> dict:
+def _stamp_target(value: dict, version: int) -> dict:
     if value.get("state", "admitted") != configuration.TargetState.ADMITTED:
         return value
     return {**value, "admitted_version": version}
@@ -113,37 +121,39 @@
 async def _commit(platform, change, deadline) -> None:
     """Repeats the transaction until its outcome is certain.
 
-    A lost confirmation leaves three cases: it took effect, it did not, or it
-    still may, since a write can land after a reader saw nothing. Sending it
-    again settles all three, because both copies have the same condition: if
-    the copy commits, the first never will; if it conflicts, the change row
-    tells by its nonce whose change came first.
+    A transaction whose confirmation was lost took effect, did not, or still
+    may, since a delayed write can land after a read. A second copy resolves all
+    three cases, because both have the same condition: if the copy commits, the
+    first one never will; if it conflicts, the nonce of the change row shows
+    whose change was committed.
     """
-    unknown = False
+    outcome_unknown = False
     wait_s = _RETRY_S
     while True:
         try:
             result = await platform.transact(
-                *_transaction(change), timeout_s=_left(deadline)
+                *_transaction(change), timeout_s=_call_timeout_s(deadline)
             )
             break
         except exception.PlatformUnknownError:
-            unknown = True
+            outcome_unknown = True
         except (exception.PlatformDownError, exception.RateLimitedError):
-            if not unknown:
+            if not outcome_unknown:
                 raise
         if time.monotonic() + wait_s >= deadline:
             raise exception.ChangeUnknownError(
-                f"change {change.nonce} of version {change.version} has no "
-                "certain outcome"
+                f"change {change.nonce} of version {change.version} may or may "
+                "not have taken effect: the platform did not confirm it in time"
             )
         await asyncio.sleep(wait_s)
-        wait_s = min(2 * wait_s, _MOST_RETRY_S)
+        wait_s = min(2 * wait_s, _MAX_RETRY_S)
     if not result.committed:
-        await _judge_conflict(platform, change, deadline, unknown=unknown)
+        await _resolve_conflict(
+            platform, change, deadline, outcome_unknown=outcome_unknown
+        )
 
 
-def _left(deadline: float) -> float:
+def _call_timeout_s(deadline: float) -> float:
     return max(0.05, min(_CALL_S, deadline - time.monotonic()))
 
 
@@ -170,27 +180,32 @@
     return conditions, writes
 
 
-async def _judge_conflict(platform, change, deadline, *, unknown: bool) -> None:
-    """Returns if the change that came first is this one, else raises."""
-    winner = await _winner(platform, change.version, deadline, unknown=unknown)
-    if winner is None:
+async def _resolve_conflict(
+    platform, change, deadline, *, outcome_unknown: bool
+) -> None:
+    """Raises an error unless the change committed is this one."""
+    committed = await _committed_change(
+        platform, change.version, deadline, outcome_unknown=outcome_unknown
+    )
+    if committed is None:
         raise exception.ChangeLostError(
-            f"version {change.version - 1} is not the newest one"
+            f"version {change.version - 1} is not the newest version"
         )
-    if winner.nonce != change.nonce:
+    if committed.nonce != change.nonce:
         raise exception.ChangeLostError(
-            f"lost the race to version {winner.version} by "
-            f"{winner.operator or 'unknown'}: nothing was changed"
+            f"nothing was changed: version {committed.version} by "
+            f"{committed.operator or 'unknown'} was committed first"
         )
 
 
-async def _winner(
-    platform, version, deadline, *, unknown: bool
+async def _committed_change(
+    platform, version, deadline, *, outcome_unknown: bool
 ) -> configuration.Change | None:
+    """Returns the change that created a version, or None if there is none."""
     while True:
         try:
             row = await platform.read(
-                change_key(version), timeout_s=_left(deadline)
+                change_key(version), timeout_s=_call_timeout_s(deadline)
             )
         except (
             exception.PlatformDownError,
@@ -200,19 +215,23 @@
                 await asyncio.sleep(_RETRY_S)
                 continue
             raise exception.ChangeUnknownError(
-                f"version {version} exists, but not whose it is"
+                f"version {version} exists, but the change that created it "
+                "could not be read in time"
             ) from error
         if row.version == 0:
             return None
         return msgspec.convert(row.value, configuration.Change)
 
 
-async def _snapshot(platform, cfg, change) -> None:
-    """Writes a snapshot now and then, for entries that start far behind."""
+async def _save_snapshot(platform, cfg, change) -> None:
+    """Saves a snapshot if one is due at this version.
+
+    Entries that start far behind load it instead of all change rows.
+    """
     if change.version % snapshot.EVERY or cfg.version != change.version - 1:
         return
     try:
         await snapshot.save(platform, configuration.apply(cfg, change))
     except exception.CopperloomError as error:
-        # Best effort: without it a starting entry reads more change rows.
+        # Without a snapshot such entries only read more change rows.
         event("snapshot_failed", version=change.version, code=error.code)
--- a/copperloom/controllers/config.py
+++ b/copperloom/controllers/config.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration, and says whether work may be admitted."""
+"""Follows the newest configuration and decides whether to admit work."""
 
 import time
 
@@ -24,19 +24,21 @@
 
 
 async def step(state, now: float) -> None:
-    """Looks at the head, and adopts what came after the version held.
+    """Reads the head row and adopts the changes since the version held.
 
-    Safe to run at any time and twice at once: a version is adopted only if it
+    Safe to run at any time and concurrently: a version is adopted only if it
     is greater than the one held.
 
     Args:
         state: The entry's state.
-        now: Monotonic seconds before the head is read. Work is confirmed as of
-            then, since an answer that comes late proves nothing newer.
+        now: Monotonic seconds before the head is read. The version is confirmed
+            as of then, since a delayed reply proves nothing newer.
 
     Raises:
-        copperloom.exception.PlatformDownError: The platform gave no answer.
-        copperloom.exception.RateLimitedError: It is over its rate.
+        copperloom.exception.PlatformDownError: The platform did not reply, or
+            lacks a change that its head row implies.
+        copperloom.exception.RateLimitedError: The platform's rate limit is
+            exceeded.
     """
     timeout_s = state.settings.platform.timeout_s
     row = await state.platform.read(changes.HEAD, timeout_s=timeout_s)
@@ -55,18 +57,23 @@
     if state.cfg.version < newest:
         return
     if not state.cfg_loaded:
-        # A head row that is not there yet: the empty configuration.
+        # Without a head row the configuration is still empty.
         adopt(state, state.cfg, now)
     confirm(state, now)
 
 
 def confirm(state, at: float) -> None:
-    """Notes a time at which the version held was the newest."""
+    """Records a time at which the version held was the newest."""
     state.confirmed_at = max(state.confirmed_at, at)
 
 
 def adopt(state, cfg: configuration.Configuration, now: float) -> bool:
-    """Puts a configuration in force here, unless it is no newer.
+    """Puts a configuration in force at this entry if it is newer.
+
+    Args:
+        state: The entry's state.
+        cfg: The configuration.
+        now: Monotonic seconds.
 
     Returns:
         Whether it was adopted.
@@ -91,12 +98,12 @@
 
 
 async def _catch_up(state, newest: int, timeout_s: float) -> None:
-    """Reads the changes after the version held, or a snapshot before them."""
+    """Applies the changes since the version held, or since a newer snapshot."""
     cfg = state.cfg
     if newest - cfg.version > snapshot.EVERY:
-        whole = await snapshot.load(state.platform, timeout_s=timeout_s)
-        if whole is not None and whole.version > cfg.version:
-            cfg = whole
+        saved = await snapshot.load(state.platform, timeout_s=timeout_s)
+        if saved is not None and saved.version > cfg.version:
+            cfg = saved
     while cfg.version < newest:
         rows = await state.platform.scan(
             changes.CHANGE_PREFIX,
@@ -105,20 +112,33 @@
             timeout_s=timeout_s,
         )
         before = cfg.version
-        found = [msgspec.convert(r.value, configuration.Change) for r in rows]
-        cfg = apply_all(state, cfg, found)
+        scanned = [msgspec.convert(r.value, configuration.Change) for r in rows]
+        cfg = apply_all(state, cfg, scanned)
         if cfg.version == before:
             raise exception.PlatformDownError(
-                f"no change {before + 1} though the head is {newest}"
+                f"change row {before + 1} is missing, but the head row has "
+                f"version {newest}"
             )
     adopt(state, cfg, time.monotonic())
 
 
 def apply_all(
-    state, cfg: configuration.Configuration, found: list[configuration.Change]
+    state,
+    cfg: configuration.Configuration,
+    successors: list[configuration.Change],
 ) -> configuration.Configuration:
-    """Applies the changes that follow a configuration, in order."""
-    for change in found:
+    """Applies changes to a configuration, and keeps them for lagging peers.
+
+    Args:
+        state: The entry's state.
+        cfg: The configuration.
+        successors: Changes in order; those up to the configuration's version
+            are skipped.
+
+    Returns:
+        The configuration after the changes.
+    """
+    for change in successors:
         if change.version <= cfg.version:
             continue
         cfg = configuration.apply(cfg, change)
@@ -130,12 +150,12 @@
 
 
 def evidence(state, now: float) -> config_staleness.Evidence:
-    """Gathers what the rule of freshness looks at."""
-    heard_since = now - state.settings.membership.suspect_s
+    """Collects the evidence on whether the configuration is the newest."""
+    contact_since = now - state.settings.membership.suspect_s
     members = state.members.values()
-    contacts = [m for m in members if m.heard_at >= heard_since]
-    # A restarted entry knows few members at first and would take two for a
-    # majority; those in contact tell how many they know.
+    contacts = [m for m in members if m.heard_at >= contact_since]
+    # A restarted entry knows few members at first and would take a few of them
+    # for a majority, so the greatest count known to any contact is used.
     known = max([len(members) + 1, *(m.known_members for m in contacts)])
     return config_staleness.Evidence(
         loaded=state.cfg_loaded,
@@ -158,10 +178,11 @@
 
 
 def may_admit(state, now: float) -> None:
-    """Lets new work pass, or refuses it at once.
+    """Raises an error if the configuration may be outdated.
 
     Raises:
-        copperloom.exception.StaleConfigurationError: With the reason.
+        copperloom.exception.StaleConfigurationError: New work must not be
+            admitted; the error names the reason.
     """
     confirm_s = state.settings.membership.confirm_s
     if state.cfg_loaded and now - state.confirmed_at <= confirm_s:
--- a/copperloom/controllers/digest_exchange.py
+++ b/copperloom/controllers/digest_exchange.py
@@ -1,7 +1,7 @@
 """Exchanges digests with other entries.
 
-What a member says is taken as of the time it was asked, so that a message
-that was held up, or a process that was paused, proves nothing newer.
+The contents of a reply count as of the time at which the request was sent, so
+that a delayed message, or a process that was paused, proves nothing newer.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
     if peer is None:
         return
     now = asyncio.get_running_loop().time()
-    state.members[instance] = dataclasses.replace(peer, asked_at=now)
+    state.members[instance] = dataclasses.replace(peer, last_sent_at=now)
     try:
         reply = await client.call(
             state.membership.channels,
@@ -35,43 +35,51 @@
     except exception.PeerUnavailableError:
         reply = None
     if reply is None or reply.instance != instance:
-        # Nobody, or another instance that got its address.
-        _note_failure(state, instance)
+        # Another instance may have been given the peer's address.
+        _record_failure(state, instance)
         return
     peer = state.members.get(instance)
     if peer is not None:
-        _note_reply(state, peer, reply, now)
+        _record_reply(state, peer, reply, now)
 
 
 async def ask_all(state, instances: list[str]) -> None:
-    """Exchanges digests with many members at once."""
+    """Exchanges digests with many members concurrently."""
     await asyncio.gather(*(ask(state, name) for name in instances))
 
 
-def note_request(state, told: peers_pb2.Digest, now: float) -> None:
-    """Takes in the digest of a peer that asked.
+def note_request(state, received: peers_pb2.Digest, now: float) -> None:
+    """Records the digest of a peer that started an exchange.
 
-    It may have been under way for long, so it proves no contact, no run and
-    no confirmation; versions and departures stay true however late.
+    The message may have been delayed for long, so it proves neither contact
+    nor the peer's current run nor a confirmation. Versions and departures stay
+    true however late they arrive.
+
+    Args:
+        state: The entry's state.
+        received: The peer's digest.
+        now: Monotonic seconds.
     """
-    if told.instance == state.settings.entry.instance:
+    if received.instance == state.settings.entry.instance:
         return
-    peer = state.members.get(told.instance)
+    peer = state.members.get(received.instance)
     if peer is None:
-        peer = member.Member(told.instance, told.address, told.data_centre)
-        event("member_met", peer=told.instance, address=told.address)
-    # A new run may listen elsewhere; a message from the one before would only
-    # cost one failed call.
-    state.members[told.instance] = dataclasses.replace(
+        peer = member.Member(
+            received.instance, received.address, received.data_centre
+        )
+        event("member_met", peer=received.instance, address=received.address)
+    # The address is adopted, since a new run may listen elsewhere; if the
+    # digest is from an earlier run, this costs one failed call only.
+    state.members[received.instance] = dataclasses.replace(
         peer,
-        address=told.address,
-        leaving=peer.leaving or told.leaving,
-        version=max(peer.version, told.config_version),
-        told_at=now,
-        loads=_loads_of(told),
-        demand=_demand_of(told),
+        address=received.address,
+        leaving=peer.leaving or received.leaving,
+        version=max(peer.version, received.config_version),
+        last_received_at=now,
+        loads=_loads_of(received),
+        demand=_demand_of(received),
     )
-    _note_departures(state, told, now)
+    _record_departures(state, received, now)
     if config_fetch.is_behind(state):
         member.spawn(state, "fetch", config_fetch.run(state))
 
@@ -79,15 +87,28 @@
 async def call(state, instance: str, method: str, message, *, timeout_s: float):
     """Calls a method of a peer's Peers service.
 
-    A peer that gives no answer counts as not live from then on, so that the
-    next call of this kind goes to another.
+    A call without a reply counts as a failure of the peer; a peer with several
+    of them is no longer live, so that later calls go to another.
+
+    Args:
+        state: The entry's state.
+        instance: The peer's instance name.
+        method: Name of the method.
+        message: The request message.
+        timeout_s: Time limit of the call in seconds.
+
+    Returns:
+        The reply message.
 
     Raises:
-        copperloom.exception.PeerUnavailableError: Unknown or silent.
+        copperloom.exception.PeerUnavailableError: The peer is unknown or did
+            not reply.
     """
     peer = state.members.get(instance)
     if peer is None:
-        raise exception.PeerUnavailableError(f"{instance} is not known")
+        raise exception.PeerUnavailableError(
+            f"{instance} is not a known member"
+        )
     try:
         return await client.call(
             state.membership.channels,
@@ -97,7 +118,7 @@
             timeout_s=timeout_s,
         )
     except exception.PeerUnavailableError:
-        _note_failure(state, instance)
+        _record_failure(state, instance)
         raise
 
 
@@ -105,15 +126,15 @@
     return min(_EXCHANGE_S, state.settings.membership.suspect_s / 3)
 
 
-def _note_failure(state, instance: str) -> None:
+def _record_failure(state, instance: str) -> None:
     peer = state.members.get(instance)
     if peer is not None:
         failures = peer.failures + 1
         state.members[instance] = dataclasses.replace(peer, failures=failures)
 
 
-def _note_reply(state, peer: member.Member, reply, asked_at: float) -> None:
-    if asked_at < peer.heard_at:
+def _record_reply(state, peer: member.Member, reply, sent_at: float) -> None:
+    if sent_at < peer.heard_at:
         return
     if peer.boot and peer.boot != reply.boot:
         event("member_restarted", peer=peer.instance, boot=reply.boot)
@@ -123,43 +144,50 @@
         data_centre=reply.data_centre,
         leaving=reply.leaving,
         version=reply.config_version,
-        heard_at=asked_at,
+        heard_at=sent_at,
         failures=0,
         known_members=reply.known_members,
         loads=_loads_of(reply),
         demand=_demand_of(reply),
     )
     if state.cfg_loaded and reply.config_version <= state.cfg.version:
-        # If an older version was the newest then, this one came after.
-        config.confirm(state, digest.confirmed_at(reply, asked_at))
-    _note_departures(state, reply, asked_at)
-    _note_peers(state, reply, asked_at)
+        # If the peer's older version was the newest then, the version held
+        # here was made later.
+        config.confirm(state, digest.confirmed_at(reply, sent_at))
+    _record_departures(state, reply, sent_at)
+    _record_peers(state, reply, sent_at)
 
 
-def _loads_of(told) -> tuple[tuple[str, int, int], ...]:
-    return tuple((t.target, t.streams, t.prefill_tokens) for t in told.loads)
+def _loads_of(received) -> tuple[tuple[str, int, int], ...]:
+    return tuple(
+        (load.target, load.streams, load.prefill_tokens)
+        for load in received.loads
+    )
 
 
-def _demand_of(told) -> tuple[tuple[str, float], ...]:
-    return tuple((d.organisation, d.tokens_per_s) for d in told.demand)
+def _demand_of(received) -> tuple[tuple[str, float], ...]:
+    return tuple((d.organisation, d.tokens_per_s) for d in received.demand)
 
 
-def _note_departures(state, told, now: float) -> None:
-    for departure in told.leaving_targets:
+def _record_departures(state, received, now: float) -> None:
+    for departure in received.leaving_targets:
         draining.mark(state, departure.target, departure.version, now)
 
 
-def _note_peers(state, reply, now: float) -> None:
-    """Meets members through another, if the platform's list is out of reach.
+def _record_peers(state, reply, now: float) -> None:
+    """Adds members that a peer knows, while the platform's list is stale.
 
-    Otherwise the list decides, so that peers don't tell each other for ever
-    of a peer that has gone.
+    Otherwise the list decides, so that peers don't keep reporting a stopped
+    member to each other indefinitely.
     """
     if member.list_is_fresh(state, now):
         return
     for peer in reply.peers:
-        own = peer.instance == state.settings.entry.instance
-        if not own and peer.instance not in state.members:
+        is_self = peer.instance == state.settings.entry.instance
+        if not is_self and peer.instance not in state.members:
             state.members[peer.instance] = member.Member(
-                peer.instance, peer.address, peer.data_centre, told_at=now
+                peer.instance,
+                peer.address,
+                peer.data_centre,
+                last_received_at=now,
             )
--- a/copperloom/controllers/dispatcher.py
+++ b/copperloom/controllers/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands the scheduler's decisions to the requests that wait for them."""
+"""Delivers the scheduler's decisions to the waiting requests."""
 
 import asyncio
 
@@ -9,23 +9,23 @@
 
 __all__ = ["error_of", "expect", "run", "step", "unexpect"]
 
-_STALE_S = 0.05
+_STALE_RETRY_S = 0.05
 
 
 def expect(state: EntryState, request_id: str) -> asyncio.Future:
-    """Returns the future that gets the request's placement or error."""
+    """Returns a future that resolves to the request's placement or error."""
     future = asyncio.get_running_loop().create_future()
     state.waiting[request_id] = future
     return future
 
 
 def unexpect(state: EntryState, request_id: str) -> None:
-    """Forgets the future."""
+    """Removes the request's future."""
     state.waiting.pop(request_id, None)
 
 
 async def run(state: EntryState) -> None:
-    """Dispatches whenever the scheduler may have something to say."""
+    """Dispatches whenever the scheduler may have new decisions."""
     loop = asyncio.get_running_loop()
     while True:
         state.wake.clear()
@@ -41,17 +41,18 @@
 
 
 def step(state: EntryState, now: float) -> float | None:
-    """Dispatches once, unless the configuration may have been replaced.
+    """Dispatches once, unless the configuration may be outdated.
 
-    A process that was paused has work queued and a configuration from before.
-    What it placed at once would go to targets retired meanwhile; it looks at
-    the platform within the poll interval and then goes on.
+    A process that was paused still has work queued and its old configuration,
+    and could place the work at targets that have been retired. It waits until
+    the next poll of the platform confirms the configuration.
 
     Returns:
-        When to look again though nothing happens; None if there is no need.
+        Monotonic time at which to run the step again even without an event;
+        None if there is no need.
     """
     if not config.is_fresh(state, now):
-        return now + _STALE_S if state.waiting else None
+        return now + _STALE_RETRY_S if state.waiting else None
     for decision in scheduler.dispatch(state.sched, now):
         _deliver(state, decision, now)
     return scheduler.next_wake(state.sched, now)
@@ -64,8 +65,9 @@
 ) -> None:
     """Resolves the waiting request's future.
 
-    A request may have gone in the same turn of the loop; a placement that
-    nobody takes is given back, or the target's count would stay too high.
+    The request may have been cancelled in the same iteration of the event
+    loop. Its placement is then released, since the target's load would
+    otherwise stay too high.
     """
     future = state.waiting.get(decision.request.id)
     if future is None or future.done():
@@ -79,8 +81,8 @@
 
 
 def error_of(refusal: messages.Refusal) -> exception.CopperloomError:
-    """Makes the error that a refusal names."""
+    """Builds the exception that a refusal names."""
     cls = getattr(exception, refusal.error)
-    # 0 stands for "never": a prompt that is too large stays so.
+    # 0 means that a retry is pointless, as for a prompt that is too large.
     retry_after_s = refusal.retry_after_s or None
     return cls(refusal.message, retry_after_s=retry_after_s)
--- a/copperloom/controllers/draining.py
+++ b/copperloom/controllers/draining.py
@@ -1,18 +1,25 @@
-"""Targets that leave get no new work."""
+"""Keeps draining targets from getting new work."""
 
 from copperloom.decisions import scheduler, target_drain
 from copperloom.logs import event
 
-__all__ = ["mark", "note_list", "refresh", "step"]
+__all__ = ["mark", "record_list", "refresh", "step"]
 
 
 async def step(state, now: float) -> None:
-    """Takes in all signs since the last step."""
+    """Updates the scheduler's draining targets."""
     refresh(state, now)
 
 
 def mark(state, target: str, version: int, now: float) -> None:
-    """Takes in a peer's sign that a target leaves."""
+    """Records a peer's report that a target drains.
+
+    Args:
+        state: The entry's state.
+        target: Name of the target.
+        version: Configuration version under which the peer learnt it.
+        now: Monotonic seconds.
+    """
     known = state.target_drain.marks.get(target, -1)
     if version <= known:
         return
@@ -20,35 +27,39 @@
     refresh(state, now)
 
 
-def note_list(state, rows) -> None:
-    """Takes in the platform's list.
+def record_list(state, rows) -> None:
+    """Records the draining targets of the platform's list.
 
-    A target that is missing in it is no sign: the list lags, and targets need
-    not be in it.
+    A target missing from the list is not taken as draining: the list lags, and
+    targets need not be in it.
     """
     names = [r.name for r in rows if r.kind != "entry" and r.leaving]
-    state.membership.listed_leaving = frozenset(names)
+    state.membership.listed_draining = frozenset(names)
 
 
 def refresh(state, now: float) -> None:
-    """Tells the scheduler which targets get no new work, if that changed.
+    """Updates the scheduler's draining targets if they changed.
 
-    Called at once for every sign, since work is placed between steps. The
-    loads controller notes a target's own word in state.leaving_targets.
+    Called at once for every report, since work is placed between steps. The
+    load controller records the targets' own reports in state.leaving_targets.
     """
-    dep = state.target_drain
+    drain_state = state.target_drain
     for name, at in list(state.leaving_targets.items()):
-        if target_drain.is_superseded(dep, name, at, now):
+        if target_drain.is_superseded(drain_state, name, at, now):
             del state.leaving_targets[name]
-    own_word = frozenset(state.leaving_targets)
-    seen = own_word | state.membership.listed_leaving
-    target_drain.observe(dep, seen, state.cfg, now)
-    target_drain.prune(dep, state.cfg)
-    names = target_drain.draining_targets(dep, state.cfg)
+    self_reported = frozenset(state.leaving_targets)
+    reported = self_reported | state.membership.listed_draining
+    target_drain.observe(drain_state, reported, state.cfg, now)
+    target_drain.prune(drain_state, state.cfg)
+    names = target_drain.draining_targets(drain_state, state.cfg)
     if names == state.sched.leaving:
         return
-    gone = sorted(names - state.sched.leaving)
-    back = sorted(state.sched.leaving - names)
-    event("leaving", targets=",".join(gone), admitted=",".join(back))
+    newly_draining = sorted(names - state.sched.leaving)
+    readmitted = sorted(state.sched.leaving - names)
+    event(
+        "leaving",
+        targets=",".join(newly_draining),
+        admitted=",".join(readmitted),
+    )
     scheduler.set_draining(state.sched, names, now)
     state.wake.set()
--- a/copperloom/controllers/load_polling.py
+++ b/copperloom/controllers/load_polling.py
@@ -1,4 +1,4 @@
-"""Polls the load reports of the targets that this entry watches."""
+"""Polls the load reports of the engines that this entry watches."""
 
 import asyncio
 import heapq
@@ -12,10 +12,8 @@
 
 __all__ = ["WATCH_MOST", "due", "interval_s", "step", "watched"]
 
-# With more engines than this an entry watches only some of them, so that its
-# control traffic stays the same as the fleet grows. All engines of a fleet of
-# today's size are watched; own work in flight and the peers' loads tell of the
-# others.
+# Bounds the control traffic of an entry as the fleet grows. The load of engines
+# that are not watched is estimated from the work in flight here and at peers.
 WATCH_MOST = 20
 _TIMEOUT_S = 1.0
 
@@ -30,13 +28,13 @@
 ) -> list[configuration.Target]:
     """Returns the engines that an entry watches.
 
-    Rendezvous hashing: each engine is watched by about the same number of
-    entries, and a change of the fleet changes little of what each watches.
+    They are chosen by rendezvous hashing: each engine is watched by about the
+    same number of entries, and a change of the fleet changes few choices.
 
     Args:
         cfg: The configuration in force.
-        instance: The entry's name.
-        most: The most engines to watch.
+        instance: The entry's instance name.
+        most: Maximum number of engines to watch.
     """
     engines = [
         tgt
@@ -58,28 +56,32 @@
 def due(
     state: EntryState, targets: list[configuration.Target], now: float
 ) -> list[configuration.Target]:
-    """Returns the targets to poll in this step, those polled longest ago first.
+    """Returns the targets to poll in this step, least recently polled first.
 
-    Load: a poll costs about 0.2 ms of processor time and 0.4 KB. Harm
-    prevented: an entry that spends on polls what its callers need, when the
-    fleet it watches grows. Limit: `load_polls_per_s`; reports get older
-    instead, which the scheduler discounts by their age.
+    The number of polls per second is bounded by `load_polls_per_s`, so that
+    polls of many targets don't take processor time from the callers. Reports
+    get older instead, and the scheduler discounts them by their age.
+
+    Args:
+        state: The entry's state.
+        targets: The targets to choose from.
+        now: Monotonic seconds.
     """
     own = state.settings.targets
-    most = max(1, round(own.load_polls_per_s * own.load_poll_s))
-    free = [tgt for tgt in targets if tgt.name not in state.polling]
+    max_polls = max(1, round(own.load_polls_per_s * own.load_poll_s))
+    idle = [tgt for tgt in targets if tgt.name not in state.polling]
     return heapq.nsmallest(
-        most, free, key=lambda tgt: state.polled_at.get(tgt.name, 0.0)
+        max_polls, idle, key=lambda tgt: state.polled_at.get(tgt.name, 0.0)
     )
 
 
 async def step(state: EntryState, now: float) -> None:
     """Starts polls of engines that have none in progress.
 
-    A frozen engine so holds up its own reports only.
+    Each poll runs in its own task, so that a frozen engine delays no other.
     """
     targets = watched(state.cfg, state.settings.entry.instance)
-    # Orders and the books of reservations need the owned engines' reports.
+    # Model orders and reservations need the reports of the owned engines.
     names = {tgt.name for tgt in targets}
     owned = [n for n in state.book.ledgers if n not in names]
     targets += [state.cfg.targets[n] for n in owned if n in state.cfg.targets]
@@ -97,7 +99,7 @@
 async def _poll(state: EntryState, tgt: configuration.Target) -> None:
     loop = asyncio.get_running_loop()
     try:
-        # Spreads the polls of all entries and targets over the interval.
+        # Jitter keeps the polls of all entries from coinciding.
         await asyncio.sleep(interval_s(state) * state.rng.uniform(0.0, 0.5))
         report = await state.targets.load(tgt.address, timeout_s=_TIMEOUT_S)
     except exception.TargetUnreachableError:
@@ -111,16 +113,16 @@
     now = loop.time()
     state.reports[tgt.name] = report
     scheduler.report(state.sched, tgt.name, report, now)
-    _note_word(state, tgt.name, report.leaving, now)
+    _record_draining(state, tgt.name, report.leaving, now)
 
 
-def _note_word(
-    state: EntryState, target: str, is_leaving: bool, now: float
+def _record_draining(
+    state: EntryState, target: str, is_draining: bool, now: float
 ) -> None:
-    """Takes in whether a target says that it leaves."""
-    if is_leaving == (target in state.leaving_targets):
+    """Records whether a target reports that it drains."""
+    if is_draining == (target in state.leaving_targets):
         return
-    if is_leaving:
+    if is_draining:
         state.leaving_targets[target] = now
     else:
         del state.leaving_targets[target]
--- a/copperloom/controllers/member.py
+++ b/copperloom/controllers/member.py
@@ -1,4 +1,4 @@
-"""The other entries, as one entry knows them."""
+"""Defines the other entries of the fleet as one entry knows them."""
 
 import asyncio
 import dataclasses
@@ -19,33 +19,35 @@
 ]
 
 _NEVER = float("-inf")
-# Entries of a fleet that read the platform's list in each interval.
+# Number of entries that read the platform's list in each poll interval.
 _LIST_READERS = 9
-_LIST_LATE_S = 10.0
-# One lost message is no failure of a member: a change of owner costs the
-# lifetime of a reservation.
-_FAILURES = 2
+_LIST_GRACE_S = 10.0
+# A single lost message doesn't make a member fail, since moving its targets to
+# another owner costs the lifetime of a reservation.
+_FAILURE_THRESHOLD = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """Another entry.
+    """Another entry. All times are monotonic seconds of this process.
 
     Attributes:
-        instance: Its name.
+        instance: Name of its instance.
         address: IP:port where it listens for peers.
-        data_centre: Where it stands.
-        boot: Its run, as of heard_at; "" if it never answered.
-        leaving: Whether it or the platform said that it goes.
-        version: Greatest version of the configuration that this boot told.
-        asked_at: Latest time at which it was asked.
-        heard_at: Latest time of asking that it answered.
-        told_at: Latest time a message came from it.
-        listed_at: Latest time that the platform's list named it.
-        failures: Askings without answer since the last answer.
-        known_members: How many members it knows.
-        loads: (target, streams, prefill tokens) that it has in flight.
-        demand: (organisation, tokens a second) that it is asked for, of
+        data_centre: Its data centre; "" if unknown.
+        boot: Random name of its process's run, as of `heard_at`; "" if it has
+            never replied.
+        leaving: Whether it or the platform reported that it is stopping.
+        version: Greatest configuration version that it has reported.
+        last_sent_at: Time at which a digest was last sent to it.
+        heard_at: Latest time of sending a digest to which it replied.
+        last_received_at: Time at which it last sent a digest of its own accord,
+            or was learnt of through another member.
+        listed_at: Latest time at which the platform's list named it.
+        failures: Unanswered calls since its last reply.
+        known_members: Number of members that it knows, itself included.
+        loads: (target, streams, prefill tokens) of its work in flight.
+        demand: (organisation, tokens per second) that its callers request, for
             organisations with a limit.
     """
 
@@ -55,9 +57,9 @@
     boot: str = ""
     leaving: bool = False
     version: int = 0
-    asked_at: float = _NEVER
+    last_sent_at: float = _NEVER
     heard_at: float = _NEVER
-    told_at: float = _NEVER
+    last_received_at: float = _NEVER
     listed_at: float = _NEVER
     failures: int = 0
     known_members: int = 1
@@ -66,19 +68,21 @@
 
 
 class Membership:
-    """What the controller keeps besides the members themselves.
+    """The state of the membership controller besides the members themselves.
 
     Attributes:
-        random: Generator for whom to ask.
+        random: Generator for the choice of peers.
         channels: Connections to peers.
-        tasks: Calls under way by name, so that no call is made twice at once.
-        announced_at: When this instance was last announced.
-        looked_at: When reading the platform's list was last begun.
-        listed_at: When a reading that worked was begun.
-        listed_self: Whether a reading named this boot of this instance.
-        listed_leaving: Targets that the list names as leaving.
-        credit: Part of an exchange that is due.
-        turns: Exchanges begun in the ordinary way.
+        tasks: Calls in progress by name, so that none runs twice at once.
+        announced_at: Time at which this instance was last announced to the
+            platform.
+        list_requested_at: Time at which the platform's list was last requested.
+        list_read_at: Time at which the latest successful request for the list
+            was sent.
+        listed_self: Whether the list has ever named this run of this entry.
+        listed_draining: Targets that the list reports as draining.
+        credit: Accumulated fraction of an exchange that is due.
+        exchanges: Number of exchanges started at the regular rate.
     """
 
     def __init__(self, *, seed: str):
@@ -86,78 +90,77 @@
         self.channels = client.Channels()
         self.tasks: dict[str, asyncio.Task] = {}
         self.announced_at = _NEVER
-        self.looked_at = _NEVER
-        self.listed_at = _NEVER
+        self.list_requested_at = _NEVER
+        self.list_read_at = _NEVER
         self.listed_self = False
-        self.listed_leaving: frozenset[str] = frozenset()
+        self.listed_draining: frozenset[str] = frozenset()
         self.credit = 0.0
-        self.turns = 0
+        self.exchanges = 0
 
 
 def live(state, now: float) -> list[Member]:
-    """Returns the members that may be expected to answer."""
+    """Returns the members that are expected to reply."""
     silent_since = now - state.settings.membership.dead_s
     silent_since -= list_interval_s(state)
     return [
         m
         for m in state.members.values()
         if not m.leaving
-        and m.failures < _FAILURES
-        and max(m.heard_at, m.told_at, m.listed_at) >= silent_since
+        and m.failures < _FAILURE_THRESHOLD
+        and max(m.heard_at, m.last_received_at, m.listed_at) >= silent_since
     ]
 
 
 def list_interval_s(state) -> float:
-    """Returns the seconds between this entry's readings of the list."""
+    """Returns the seconds between this entry's reads of the list."""
     poll_s = state.settings.platform.instances_poll_s
     return list_interval(poll_s, len(state.members) + 1)
 
 
 def list_interval(poll_s: float, entries: int) -> float:
-    """Returns the seconds between one entry's readings of the list.
+    """Returns the seconds between one entry's reads of the platform's list.
 
-    Load: the list of 370 entries is about 38 KB, with their targets four
-    times that. Harm prevented: read by each entry every 2 s it takes ten
-    times the budget for control, or more. Limits: about as many entries read
-    it at any time as are in a small fleet; what one of them learns, digests
-    pass on.
+    The size of the list grows with the fleet, so that reads by all entries at
+    a fixed interval would exceed the traffic budget for control. The interval
+    therefore grows with the fleet: the number of reads per interval stays that
+    of a small fleet, and digests spread what the list says.
 
     Args:
-        poll_s: The interval in the settings.
-        entries: Entries in the fleet.
+        poll_s: The interval of the settings, in seconds.
+        entries: Number of entries in the fleet.
     """
     return poll_s * max(1.0, entries / _LIST_READERS)
 
 
 def list_is_fresh(state, now: float) -> bool:
-    """Returns whether the list was read as lately as it should have been."""
-    age_s = now - state.membership.listed_at
-    return age_s <= _LIST_LATE_S + list_interval_s(state)
+    """Returns whether the latest read of the list is recent enough."""
+    age_s = now - state.membership.list_read_at
+    return age_s <= _LIST_GRACE_S + list_interval_s(state)
 
 
 def is_silent(state, peer: Member, now: float) -> bool:
-    """Returns whether a member is neither heard nor listed any more.
+    """Returns whether a member is neither in contact nor listed any more.
 
-    It has crashed or is cut off; in both cases it admits nothing after
-    confirm_s, so nobody needs to wait for it.
+    It has crashed or is partitioned from the fleet. In both cases it admits no
+    work after confirm_s, so that no change has to wait for it.
     """
-    last = max(peer.heard_at, peer.told_at, peer.listed_at)
+    last = max(peer.heard_at, peer.last_received_at, peer.listed_at)
     limit_s = state.settings.membership.dead_s + list_interval_s(state)
     return bool(peer.failures and last < now - limit_s)
 
 
 def spawn(state, name: str, coroutine) -> None:
-    """Runs a call beside the step, unless the same one is under way."""
+    """Runs a call in the background, unless one of that name is running."""
     tasks = state.membership.tasks
     if name in tasks:
         coroutine.close()
         return
     task = asyncio.create_task(coroutine)
     tasks[name] = task
-    task.add_done_callback(lambda done: _ended(tasks, name, done))
+    task.add_done_callback(lambda done: _on_done(tasks, name, done))
 
 
-def _ended(tasks: dict, name: str, task: asyncio.Task) -> None:
+def _on_done(tasks: dict, name: str, task: asyncio.Task) -> None:
     tasks.pop(name, None)
     if not task.cancelled() and task.exception() is not None:
         error = repr(task.exception())
--- a/copperloom/controllers/membership.py
+++ b/copperloom/controllers/membership.py
@@ -1,8 +1,7 @@
 """Keeps contact with the other entries.
 
-Whom there is comes from the platform's lagging list and from whoever makes
-contact. What a peer says is taken as of the time it was asked, so that a
-message that was held up, or a process that was paused, proves nothing newer.
+Members are discovered through the platform's list, which lags, and through the
+digests that entries exchange.
 """
 
 import asyncio
@@ -24,41 +23,41 @@
 __all__ = ["close", "exchanges_per_s", "step"]
 
 _NEVER = float("-inf")
-# Every fourth digest goes to another data centre, so that versions cross even
-# if the platform's service does not.
-_FAR_EVERY = 4
-# Up to this many entries the settings alone say how many digests are sent.
+# One digest in this many goes to another data centre, so that configuration
+# versions still cross when the platform's service does not replicate them.
+_REMOTE_EVERY = 4
+# Up to this number of entries the settings alone determine the digest rate.
 _SMALL_FLEET = 9
-# An exchange costs about 700 bytes both ways, and as many are answered as
-# asked, so one a second leaves the rest of 2 KB a second to other control.
-_LEAST_EXCHANGES_PER_S = 1.0
-# A peer that crashed is counted this long, so that a cut-off part of the
-# fleet does not take itself for the whole of it.
-_FORGET_S = 600.0
+# Bounds the time that an update takes to spread in a large fleet, and leaves
+# most of the traffic budget to other control messages.
+_MIN_EXCHANGES_PER_S = 1.0
+# A crashed peer still counts as a member for this duration, so that a
+# partitioned minority doesn't take itself for the whole fleet.
+_RETENTION_S = 600.0
 _LOADS_FRESH_S = 6.0
 
 
 async def step(state, now: float) -> None:
-    """Tells a few members the digest and takes in what came since.
+    """Starts the exchanges that are due and applies what was received.
 
-    Calls run beside it, each with a time limit, so that a silent peer or
-    platform holds up no other.
+    Calls run in the background, each with a time limit, so that a silent peer
+    or platform delays no other.
     """
     membership = state.membership
     poll_s = state.settings.platform.instances_poll_s
     if now - membership.announced_at >= poll_s:
         membership.announced_at = now
         member.spawn(state, "announce", _announce(state))
-    if now - membership.looked_at >= member.list_interval_s(state):
-        membership.looked_at = now
-        member.spawn(state, "list", _look(state, now))
-    for peer in _choose(state, now):
+    if now - membership.list_requested_at >= member.list_interval_s(state):
+        membership.list_requested_at = now
+        member.spawn(state, "list", _read_list(state, now))
+    for peer in _choose_peers(state, now):
         member.spawn(
             state,
             f"ask {peer.instance}",
             digest_exchange.ask(state, peer.instance),
         )
-    _forget(state, now)
+    _prune(state, now)
     _set_loads(state, now)
     draining.refresh(state, now)
     if config_fetch.is_behind(state):
@@ -66,25 +65,24 @@
 
 
 def exchanges_per_s(own: options.MembershipSection, entries: int) -> float:
-    """Returns how many digests an entry sends a second to others.
+    """Returns the number of digests that an entry sends per second.
 
-    Load: 370 entries. Harm prevented: digests at the rate of a small fleet
-    cost each entry four times its budget for control, and most of them tell
-    nothing that the platform has not told. Limits: a large fleet sends fewer
-    in proportion, but one a second at least, so that a departure crosses a
-    data centre of 20 entries within some seconds.
+    In a large fleet the rate of a small one would exceed the traffic budget
+    for control, and most digests would repeat what the platform's list has
+    already reported. The rate therefore falls as the fleet grows, down to a
+    minimum at which a departure still crosses a data centre within seconds.
 
     Args:
-        own: The settings.
-        entries: Entries in the fleet.
+        own: The settings of the membership.
+        entries: Number of entries in the fleet.
     """
-    most = own.exchange_fanout / own.exchange_s
+    full_rate = own.exchange_fanout / own.exchange_s
     share = min(1.0, _SMALL_FLEET / entries)
-    return max(most * share, min(most, _LEAST_EXCHANGES_PER_S))
+    return max(full_rate * share, min(full_rate, _MIN_EXCHANGES_PER_S))
 
 
 async def close(state) -> None:
-    """Ends all calls and connections."""
+    """Cancels all calls and closes the connections."""
     tasks = list(state.membership.tasks.values())
     for task in tasks:
         task.cancel()
@@ -93,7 +91,7 @@
 
 
 async def _announce(state) -> None:
-    """Tells the platform of this instance."""
+    """Announces this instance to the platform."""
     own = state.settings.entry
     row = interface.InstanceRow(
         own.instance,
@@ -109,8 +107,8 @@
         event("announce_failed", code=error.code)
 
 
-async def _look(state, now: float) -> None:
-    """Reads the platform's list."""
+async def _read_list(state, now: float) -> None:
+    """Reads the platform's list of instances and records its rows."""
     own = state.settings.entry
     timeout_s = state.settings.platform.timeout_s
     try:
@@ -118,82 +116,82 @@
     except exception.CopperloomError as error:
         event("list_failed", code=error.code)
         return
-    state.membership.listed_at = now
-    draining.note_list(state, rows)
+    state.membership.list_read_at = now
+    draining.record_list(state, rows)
     for row in rows:
         if row.kind == "entry" and row.name != own.instance:
-            _note_row(state, row, now)
-        # The address tells this boot from an earlier one, which the list may
-        # still show.
+            _record_row(state, row, now)
+        # The list may still show an earlier run of this entry, which the
+        # address distinguishes.
         if row.name == own.instance and row.address == state.peers_address:
             state.membership.listed_self = True
 
 
-def _note_row(state, row: interface.InstanceRow, now: float) -> None:
+def _record_row(state, row: interface.InstanceRow, now: float) -> None:
     peer = state.members.get(row.name)
     if peer is None:
         if row.leaving:
             return
         peer = member.Member(row.name, row.address, row.data_centre)
     elif peer.failures and row.address != peer.address:
-        # The list lags, so it is believed only where the address known fails.
+        # The list lags, so its address is used only if the known one fails.
         peer = dataclasses.replace(peer, address=row.address)
     state.members[row.name] = dataclasses.replace(
         peer, listed_at=now, leaving=peer.leaving or row.leaving
     )
 
 
-def _choose(state, now: float) -> list[member.Member]:
-    """Chooses whom to ask in this step, those asked longest ago first.
+def _choose_peers(state, now: float) -> list[member.Member]:
+    """Chooses the members to exchange digests with in this step.
 
-    Load: 20 members in a data centre, 370 in all; a digest to each of them
-    would cost 100 KB a second. Harm prevented: versions, departures and loads
-    that travel too slowly. Limits: the fan-out of the settings; all members
-    that were not heard lately are asked only while this entry has no proof of
-    its configuration, since only then it has to know whether it is in contact
-    with more than half of them.
+    Those with the oldest exchange come first, up to the fan-out. Only while
+    this entry has no proof that its configuration is the newest, it contacts
+    all members, since it then has to know whether it reaches a majority.
     """
     own = state.settings.membership
-    unproved = now - state.confirmed_at > own.confirm_s / 2
-    members = sorted(state.members.values(), key=lambda m: m.asked_at)
-    if unproved or not state.cfg_loaded:
-        return [m for m in members if m.asked_at <= now - own.suspect_s / 3]
+    unconfirmed = now - state.confirmed_at > own.confirm_s / 2
+    members = sorted(state.members.values(), key=lambda m: m.last_sent_at)
+    if unconfirmed or not state.cfg_loaded:
+        return [m for m in members if m.last_sent_at <= now - own.suspect_s / 3]
     failing = [m for m in members if m.failures]
     members = [m for m in members if not m.failures]
-    here = state.settings.entry.data_centre
-    near = [m for m in members if m.data_centre == here]
-    far = [m for m in members if m.data_centre != here]
-    fanout = _take_turns(state)
-    turns = range(state.membership.turns - fanout, state.membership.turns)
-    wanted_far = sum(1 for turn in turns if turn % _FAR_EVERY == 0)
-    # One that failed is tried soon again, since nobody else counts on it.
-    chosen = [m for m in failing[:1] if m.asked_at <= now - own.suspect_s]
+    data_centre = state.settings.entry.data_centre
+    local = [m for m in members if m.data_centre == data_centre]
+    remote = [m for m in members if m.data_centre != data_centre]
+    fanout = _take_due(state)
+    numbers = range(
+        state.membership.exchanges - fanout, state.membership.exchanges
+    )
+    remote_due = sum(1 for number in numbers if number % _REMOTE_EVERY == 0)
+    # Failing members are retried one at a time, so that healthy ones keep most
+    # of the fan-out.
+    chosen = [m for m in failing[:1] if m.last_sent_at <= now - own.suspect_s]
     chosen = chosen[:fanout]
-    chosen += far[: max(wanted_far, fanout - len(near))]
-    return chosen + near[: max(0, fanout - len(chosen))]
+    chosen += remote[: max(remote_due, fanout - len(local))]
+    return chosen + local[: max(0, fanout - len(chosen))]
 
 
-def _take_turns(state) -> int:
-    """Returns how many members to ask in this step."""
+def _take_due(state) -> int:
+    """Returns the number of exchanges due in this step and counts them."""
     own = state.settings.membership
     membership = state.membership
     rate = exchanges_per_s(own, len(state.members) + 1)
     membership.credit += rate * own.exchange_s
     count = int(membership.credit)
     membership.credit -= count
-    membership.turns += count
+    membership.exchanges += count
     return count
 
 
-def _forget(state, now: float) -> None:
-    """Drops members that left, and those long neither listed nor heard."""
+def _prune(state, now: float) -> None:
+    """Removes members that stopped or are neither listed nor in contact."""
     own = state.settings.membership
     list_is_fresh = member.list_is_fresh(state, now)
     for peer in list(state.members.values()):
-        last = max(peer.heard_at, peer.told_at)
+        last = max(peer.heard_at, peer.last_received_at)
         silent_s = now - max(last, peer.listed_at)
-        gone = peer.leaving and now - last > own.dead_s
-        if gone or (list_is_fresh and silent_s > _FORGET_S):
+        stopped = peer.leaving and now - last > own.dead_s
+        if stopped or (list_is_fresh and silent_s > _RETENTION_S):
             del state.members[peer.instance]
             event("member_forgotten", peer=peer.instance)
     addresses = {m.address for m in state.members.values()}
@@ -201,18 +199,18 @@
 
 
 def _set_loads(state, now: float) -> None:
-    """Tells the scheduler what peers have in flight and are asked for."""
+    """Passes the peers' work in flight and demand to the scheduler."""
     since = now - _LOADS_FRESH_S
     fresh = [
         peer
         for peer in state.members.values()
-        if max(peer.heard_at, peer.told_at) >= since
+        if max(peer.heard_at, peer.last_received_at) >= since
     ]
     loads: dict[str, tuple[int, int]] = {}
     for peer in fresh:
         for target, streams, tokens in peer.loads:
-            had = loads.get(target, (0, 0))
-            loads[target] = (had[0] + streams, had[1] + tokens)
+            total = loads.get(target, (0, 0))
+            loads[target] = (total[0] + streams, total[1] + tokens)
     scheduler.set_peer_loads(state.sched, loads, now)
     shares = limits.shares(
         scheduler.demand(state.sched, now),
--- a/copperloom/controllers/snapshot.py
+++ b/copperloom/controllers/snapshot.py
@@ -1,4 +1,4 @@
-"""Whole configurations as bytes, in the object store and between entries."""
+"""Encodes whole configurations for the object store and for other entries."""
 
 import msgspec
 
@@ -7,6 +7,7 @@
 
 __all__ = ["EVERY", "ROW", "decode", "encode", "load", "save"]
 
+# Number of versions between snapshots.
 EVERY = 50
 ROW = "config/snapshot"
 _CALL_S = 5.0
@@ -23,7 +24,7 @@
 
 
 def encode(cfg: configuration.Configuration) -> bytes:
-    """Returns a configuration as bytes."""
+    """Encodes a configuration as bytes."""
     entities = [
         *cfg.organisations.values(),
         *cfg.deployments.values(),
@@ -31,27 +32,30 @@
         *cfg.presets.values(),
     ]
     if cfg.preset.name in cfg.presets:
-        # After the presets, since it names one of them.
+        # Follows the presets, since it refers to one of them.
         entities.append(configuration.PresetInForce(cfg.preset.name))
     pairs = [configuration.encode_entity(entity) for entity in entities]
     return msgspec.json.encode(_Snapshot(cfg.version, pairs))
 
 
 def decode(data: bytes) -> configuration.Configuration:
-    """Makes a configuration of the bytes of `encode`.
+    """Decodes a configuration from the output of `encode`.
 
     Raises:
-        copperloom.exception.MalformedRequestError: The bytes are not one.
+        copperloom.exception.MalformedRequestError: The bytes are not a valid
+            snapshot.
     """
     try:
-        whole = msgspec.json.decode(data, type=_Snapshot)
+        parsed = msgspec.json.decode(data, type=_Snapshot)
     except msgspec.MsgspecError as error:
-        raise exception.MalformedRequestError(f"snapshot: {error}") from error
-    if whole.version == 0:
+        raise exception.MalformedRequestError(
+            f"invalid snapshot: {error}"
+        ) from error
+    if parsed.version == 0:
         return configuration.Configuration()
-    empty = configuration.Configuration(version=whole.version - 1)
+    empty = configuration.Configuration(version=parsed.version - 1)
     change = configuration.Change(
-        version=whole.version, nonce="", operator="", puts=whole.entities
+        version=parsed.version, nonce="", operator="", puts=parsed.entities
     )
     return configuration.apply(empty, change)
 
@@ -59,10 +63,10 @@
 async def save(
     platform: interface.Platform, cfg: configuration.Configuration
 ) -> None:
-    """Stores a configuration as the newest snapshot, unless a newer is there.
+    """Stores a configuration as the newest snapshot, unless it is outdated.
 
-    The object is complete before the row names it, so that a reader never
-    finds half of one.
+    The object is written before the row that refers to it, so that a reader
+    never loads an incomplete one.
     """
     row = await platform.read(ROW, timeout_s=_CALL_S)
     if row.version and _pointer(row).version >= cfg.version:
@@ -80,7 +84,7 @@
 async def load(
     platform: interface.Platform, *, timeout_s: float
 ) -> configuration.Configuration | None:
-    """Returns the newest snapshot, None if there is none."""
+    """Returns the configuration of the newest snapshot, or None."""
     row = await platform.read(ROW, timeout_s=timeout_s)
     if not row.version:
         return None
--- a/copperloom/controllers/tests/test_membership.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -174,10 +174,10 @@
             lambda: all("t" in e.sched.leaving for e in self.fleet)
         )
         await self.list_target(fresh)
-        listed = [e.membership.listed_at for e in self.fleet]
+        listed = [e.membership.list_read_at for e in self.fleet]
         await fixtures.until(
             lambda: all(
-                e.membership.listed_at > at + 1.0
+                e.membership.list_read_at > at + 1.0
                 for e, at in zip(self.fleet, listed, strict=True)
             )
         )
@@ -283,7 +283,7 @@
         here = scheduler.demand(entry.sched, 0.0)["org"]
         demand = [peers_pb2.Demand(organisation="org", tokens_per_s=3 * here)]
         digest_exchange.note_request(entry, self.told(demand=demand), 0.0)
-        entry.membership.looked_at = 0.0
+        entry.membership.list_requested_at = 0.0
         self.addAsyncCleanup(membership.close, entry)
         await membership.step(entry, 0.0)
         self.assertAlmostEqual(entry.sched.limits.shares["org"], 0.25, 3)
