--- a/copperloom/controllers/tests/fixtures.py
+++ b/copperloom/controllers/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a platform process, entries' states in this process."""
+"""Shared fixtures: a stand-in platform process and entry states."""
 
 import asyncio
 import hashlib
@@ -27,11 +27,16 @@
 ]
 
 TOKEN = "operators"
-_START_S = 20.0
+_WAIT_S = 20.0
 
 
 class Standin:
-    """A platform process and a client of it."""
+    """A process of the platform stand-in.
+
+    Attributes:
+        address: IP:port where it listens.
+        process: The process.
+    """
 
     def __init__(self, address: str, process: subprocess.Popen):
         self.address = address
@@ -39,7 +44,12 @@
 
 
 def start_platform(case, **keys) -> Standin:
-    """Starts the platform stand-in as a process; the case ends it."""
+    """Starts the platform stand-in as a process, which the test case ends.
+
+    Args:
+        case: The test case.
+        **keys: Settings of its [platform] section.
+    """
     lines = ["[platform]", *(f"{k} = {v}" for k, v in keys.items())]
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
@@ -66,7 +76,7 @@
 
 
 async def control(platform: Standin, **changes) -> None:
-    """Changes the platform's behaviour."""
+    """Sets faults and other behaviour of the platform stand-in."""
     url = f"http://{platform.address}/_standin/control"
     async with (
         aiohttp.ClientSession() as session,
@@ -76,14 +86,21 @@
 
 
 async def truth(platform: Standin) -> dict:
-    """Returns what the platform really holds."""
+    """Returns the platform stand-in's actual contents and call counts."""
     url = f"http://{platform.address}/_standin/truth"
     async with aiohttp.ClientSession() as session, session.get(url) as reply:
         return await reply.json()
 
 
 def entry_state(case, address: str, instance: str = "a", **sections):
-    """Makes an entry's state with a platform client; the case closes it."""
+    """Builds an entry's state with a platform client.
+
+    Args:
+        case: The test case, which closes the client.
+        address: IP:port of the platform.
+        instance: The entry's instance name.
+        **sections: Settings by section, and data_centre.
+    """
     settings = options.EntrySettings(
         entry=options.EntrySection(
             instance=instance,
@@ -103,7 +120,7 @@
 
 
 def organisation(name: str = "org") -> tuple[str, dict]:
-    """Returns the pair that puts an organisation."""
+    """Returns the key and value of an organisation for a change."""
     digest = hashlib.sha256(name.encode()).hexdigest()
     return configuration.encode_entity(
         configuration.Organisation(name=name, token_sha256=digest)
@@ -111,16 +128,16 @@
 
 
 def target(name: str = "t", **values) -> tuple[str, dict]:
-    """Returns the pair that puts a target."""
+    """Returns the key and value of a target for a change."""
     return configuration.encode_entity(
         configuration.Target(name=name, address="127.0.0.1:9", **values)
     )
 
 
-async def until(condition, bound_s: float = _START_S) -> None:
-    """Waits until a condition holds; fails after a bound."""
+async def until(condition, bound_s: float = _WAIT_S) -> None:
+    """Waits until a condition holds, and fails after a time limit."""
     deadline = time.monotonic() + bound_s
     while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"did not come true in {bound_s} s")
+            raise AssertionError(f"condition did not hold within {bound_s} s")
         await asyncio.sleep(0.02)
--- a/copperloom/controllers/tests/fleet.py
+++ b/copperloom/controllers/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Several entries' control in one process, against a platform process."""
+"""Runs the control loops of several entries in this process for tests."""
 
 import asyncio
 import time
@@ -14,8 +14,8 @@
 
 __all__ = [
     "admits",
-    "cut_peers",
-    "cut_platform",
+    "disconnect_platform",
+    "partition",
     "start",
     "start_fleet",
     "stop",
@@ -36,44 +36,51 @@
     },
     "targets": {"reservation_s": 0.6},
 }
-_DEAD = "127.0.0.1:1"
+_CLOSED_ADDRESS = "127.0.0.1:1"
 
 
-class _Cut(dict):
-    """Connections of which those to some addresses are refused."""
+class _PartitionedChannels(dict):
+    """Channels to peers; those to blocked addresses lead to a closed port."""
 
     def __init__(self):
         super().__init__()
-        self.addresses: set[str] = set()
+        self.blocked: set[str] = set()
 
     def get(self, address, default=None):
-        if address in self.addresses:
+        if address in self.blocked:
             return grpclib.client.Channel("127.0.0.1", 1)
         return super().get(address, default)
 
 
 async def start_fleet(case, platform: fixtures.Standin, count: int) -> list:
-    """Starts entries and waits until all know and hear each other."""
+    """Starts entries and waits until each is in contact with all others."""
     fleet = [await start(case, platform.address, f"e{i}") for i in range(count)]
 
-    def met() -> bool:
+    def are_in_contact() -> bool:
         return all(
             config.evidence(e, time.monotonic()).contacts == count
             and e.cfg_loaded
             for e in fleet
         )
 
-    await fixtures.until(met)
+    await fixtures.until(are_in_contact)
     return fleet
 
 
 async def start(case, platform: str, instance: str, *, peers: str = ""):
-    """Starts the control of one entry: peers' server, config and members."""
+    """Starts the peer server and the control loops of one entry.
+
+    Args:
+        case: The test case, which stops the entry.
+        platform: IP:port of the platform.
+        instance: The entry's instance name.
+        peers: IP:port where it listens for peers; a free port if empty.
+    """
     sections = {name: dict(keys) for name, keys in _SECTIONS.items()}
     entry = fixtures.entry_state(case, platform, instance, **sections)
     if peers:
         object.__setattr__(entry.settings.entry, "peers_listen", peers)
-    entry.membership.channels.open = _Cut()
+    entry.membership.channels.open = _PartitionedChannels()
     entry.targets = types.SimpleNamespace(streams=_no_streams)
     entry.peers_server, _ = await server.serve(entry)
     own = entry.settings
@@ -90,7 +97,10 @@
 
 
 async def stop(entry) -> None:
-    """Ends an entry at once, as if its process died; safe to repeat."""
+    """Stops an entry abruptly, as a crash of its process would.
+
+    Safe to call more than once.
+    """
     for task in entry.loops:
         task.cancel()
     await asyncio.gather(*entry.loops, return_exceptions=True)
@@ -111,27 +121,27 @@
         await asyncio.sleep(every_s)
 
 
-def cut_platform(case, entry) -> None:
-    """Cuts an entry from the platform: connections are refused."""
+def disconnect_platform(case, entry) -> None:
+    """Disconnects an entry from the platform: its connections are refused."""
     case.addAsyncCleanup(entry.platform.close)
-    entry.platform = http.connect(_DEAD)
+    entry.platform = http.connect(_CLOSED_ADDRESS)
     case.addAsyncCleanup(entry.platform.close)
 
 
-def cut_peers(side: list, other: list) -> None:
-    """Cuts two groups of entries from each other, in both directions."""
-    for one, two in ((side, other), (other, side)):
-        for entry in one:
-            connections = entry.membership.channels.open
-            for peer in two:
-                connections.addresses.add(peer.peers_address)
-                channel = connections.pop(peer.peers_address, None)
+def partition(left: list, right: list) -> None:
+    """Partitions two groups of entries from each other in both directions."""
+    for senders, receivers in ((left, right), (right, left)):
+        for entry in senders:
+            channels = entry.membership.channels.open
+            for peer in receivers:
+                channels.blocked.add(peer.peers_address)
+                channel = channels.pop(peer.peers_address, None)
                 if channel is not None:
                     channel.close()
 
 
 def admits(entry) -> bool:
-    """Returns whether an entry would admit work now."""
+    """Returns whether an entry admits new work now."""
     try:
         config.may_admit(entry, time.monotonic())
     except exception.StaleConfigurationError:
--- a/copperloom/controllers/tests/test_config.py
+++ b/copperloom/controllers/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration against a platform process."""
+"""Tests changes of the configuration against a platform process."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 from copperloom.controllers.tests import fixtures
 
 
-async def make(entry, *puts, deletes=(), operator="olga", **keys):
+async def commit(entry, *puts, deletes=(), operator="olga", **keys):
     values = {
         "seen_version": entry.cfg.version,
         "nonce": f"{operator}-{time.monotonic_ns()}",
@@ -28,7 +28,7 @@
     )
 
 
-async def look(entry) -> None:
+async def poll(entry) -> None:
     await config.step(entry, time.monotonic())
 
 
@@ -38,15 +38,15 @@
 
     async def asyncSetUp(self):
         self.entry = fixtures.entry_state(self, self.standin.address)
-        await look(self.entry)
+        await poll(self.entry)
 
-    def other(self, instance="b"):
+    def make_other(self, instance="b"):
         return fixtures.entry_state(self, self.standin.address, instance)
 
-    async def test_change_is_adopted_elsewhere_with_its_audit_row(self):
-        self.assertEqual(await make(self.entry, fixtures.target("t")), 1)
-        other = self.other()
-        await look(other)
+    async def test_other_entry_adopts_change_and_audit_row_is_written(self):
+        self.assertEqual(await commit(self.entry, fixtures.target("t")), 1)
+        other = self.make_other()
+        await poll(other)
         self.assertEqual(list(other.cfg.targets), ["t"])
         rows = {
             r["key"]: r for r in (await fixtures.truth(self.standin))["rows"]
@@ -56,110 +56,107 @@
             (audit["operator"], audit["from_version"]), ("olga", 0)
         )
 
-    async def test_two_operators_race(self):
-        """Two operators change the same version at the same moment.
+    async def test_concurrent_changes_commit_only_one(self):
+        """Two concurrent changes of one version must not both take effect.
 
-        Both saw version 0. One transaction commits; the other's condition on
-        the head fails. The loser must hear whose change came first, and
-        nothing of the loser's may be in force.
+        The error of the refused one names the operator of the committed one.
         """
-        other = self.other()
-        await look(other)
+        other = self.make_other()
+        await poll(other)
         results = await asyncio.gather(
-            make(self.entry, fixtures.target("x"), operator="olga"),
-            make(other, fixtures.target("y"), operator="piotr"),
+            commit(self.entry, fixtures.target("x"), operator="olga"),
+            commit(other, fixtures.target("y"), operator="piotr"),
             return_exceptions=True,
         )
         lost = [r for r in results if isinstance(r, Exception)]
         self.assertEqual(len(lost), 1, results)
         self.assertIsInstance(lost[0], exception.ChangeLostError)
-        await look(self.entry)
+        await poll(self.entry)
         winner = {"x": "olga", "y": "piotr"}[next(iter(self.entry.cfg.targets))]
         self.assertIn(f"version 1 by {winner}", str(lost[0]))
         self.assertEqual(len(self.entry.cfg.targets), 1)
 
     async def test_lost_confirmation_is_resolved(self):
-        """The write takes effect, its confirmation is lost.
+        """A committed change must not be reported as lost.
 
-        The writer sends it again, the head's condition fails, and the change
-        row's nonce shows that the change in force is its own.
+        The repeated transaction conflicts with the first, whose confirmation
+        was lost; the nonce of the change row shows that they are the same.
         """
         await fixtures.control(self.standin, lose_confirmations=1)
-        self.assertEqual(await make(self.entry, fixtures.target("t")), 1)
-        await look(self.entry)
+        self.assertEqual(await commit(self.entry, fixtures.target("t")), 1)
+        await poll(self.entry)
         self.assertEqual(self.entry.cfg.version, 1)
 
-    async def test_lost_write_is_made_once(self):
+    async def test_lost_transaction_is_repeated(self):
         await fixtures.control(self.standin, drop_writes=1)
-        self.assertEqual(await make(self.entry, fixtures.target("t")), 1)
+        self.assertEqual(await commit(self.entry, fixtures.target("t")), 1)
 
-    async def test_same_nonce_again_is_the_same_change(self):
+    async def test_repeated_nonce_does_not_create_second_change(self):
         put = fixtures.target("t")
-        first = await make(self.entry, put, nonce="n", seen_version=0)
-        await look(self.entry)
-        again = await make(self.entry, put, nonce="n", seen_version=0)
+        first = await commit(self.entry, put, nonce="n", seen_version=0)
+        await poll(self.entry)
+        again = await commit(self.entry, put, nonce="n", seen_version=0)
         self.assertEqual((first, again), (1, 1))
 
-    async def test_outcome_that_stays_uncertain_is_said_so(self):
+    async def test_unresolved_outcome_is_reported_as_unknown(self):
         await fixtures.control(self.standin, black_hole=["table"])
         with self.assertRaises(exception.ChangeUnknownError):
-            await make(self.entry, fixtures.target("t"), timeout_s=0.5)
+            await commit(self.entry, fixtures.target("t"), timeout_s=0.5)
 
     async def test_outage_changes_nothing(self):
         await fixtures.control(self.standin, outage=["table"])
         with self.assertRaises(exception.PlatformDownError):
-            await make(self.entry, fixtures.target("t"))
+            await commit(self.entry, fixtures.target("t"))
 
-    async def test_never_falls_back(self):
-        """The platform answers with an older head, as after lost writes.
+    async def test_older_head_is_not_adopted(self):
+        """A platform that lost writes must not bring back an old version.
 
-        An entry that followed it would put a replaced preset in force again.
-        It keeps what it has, and does not count the answer as a proof.
+        Its reply does not confirm the version held either.
         """
-        await make(self.entry, fixtures.target("t"))
-        await look(self.entry)
-        proved = self.entry.confirmed_at
+        await commit(self.entry, fixtures.target("t"))
+        await poll(self.entry)
+        confirmed = self.entry.confirmed_at
         empty = fixtures.start_platform(self)
         self.entry.platform = fixtures.entry_state(self, empty.address).platform
-        await look(self.entry)
+        await poll(self.entry)
         self.assertEqual(self.entry.cfg.version, 1)
-        self.assertEqual(self.entry.confirmed_at, proved)
+        self.assertEqual(self.entry.confirmed_at, confirmed)
         older = configuration.Configuration(version=0)
         self.assertFalse(config.adopt(self.entry, older, 0.0))
 
-    async def test_late_answer_proves_only_the_time_it_was_asked(self):
+    async def test_delayed_reply_confirms_as_of_request_time(self):
         await fixtures.control(self.standin, slow_s=0.3)
-        asked = time.monotonic()
-        await config.step(self.entry, asked)
-        self.assertEqual(self.entry.confirmed_at, asked)
+        sent_at = time.monotonic()
+        await config.step(self.entry, sent_at)
+        self.assertEqual(self.entry.confirmed_at, sent_at)
 
-    async def test_far_behind_starts_from_the_snapshot(self):
+    async def test_entry_far_behind_loads_snapshot(self):
         for number in range(52):
-            await make(self.entry, fixtures.target(f"t{number}"))
-            await look(self.entry)
+            await commit(self.entry, fixtures.target(f"t{number}"))
+            await poll(self.entry)
         before = (await fixtures.truth(self.standin))["calls"]
-        other = self.other()
-        await look(other)
+        other = self.make_other()
+        await poll(other)
         after = (await fixtures.truth(self.standin))["calls"]
         self.assertEqual(other.cfg, self.entry.cfg)
         self.assertEqual(after["get_object"], before.get("get_object", 0) + 1)
         self.assertEqual(after["scan"], before["scan"] + 1)
 
-    async def test_stale_entry_refuses_at_once(self):
+    async def test_stale_entry_refuses_work(self):
         now = time.monotonic()
         config.may_admit(self.entry, now)
         late = now + self.entry.settings.membership.confirm_s + 1
         with self.assertRaises(exception.StaleConfigurationError):
-            config.may_admit(self.entry, late)  # Not known to be the only one.
+            config.may_admit(self.entry, late)  # Peers may exist.
         self.entry.membership.listed_self = True
-        config.may_admit(self.entry, late)  # Alone is more than half of one.
-        self.entry.members["b"] = _Silent()
+        config.may_admit(self.entry, late)  # It has none.
+        self.entry.members["b"] = _SilentMember()
         with self.assertRaises(exception.StaleConfigurationError) as caught:
             config.may_admit(self.entry, late)
         self.assertGreater(caught.exception.retry_after_s, 0)
 
 
-class _Silent:
+class _SilentMember:
     heard_at = float("-inf")
     known_members = 2
     version = 0
--- a/copperloom/controllers/tests/test_validation.py
+++ b/copperloom/controllers/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""What an operator can get wrong in one change."""
+"""Tests the validation of changes and the encoding of snapshots."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 _CURRENT = ("in_force/current", {"preset": "peak"})
 
 
-def _configured() -> configuration.Configuration:
+def _make_configuration() -> configuration.Configuration:
     puts = (
         fixtures.organisation(),
         ("deployment/d", {"name": "d", "model": "m", "organisations": ["org"]}),
@@ -23,35 +23,35 @@
 
 
 class ValidationTest(unittest.TestCase):
-    def refused(self, puts=(), deletes=(), cfg=None):
+    def assert_refused(self, puts=(), deletes=(), cfg=None):
         with self.assertRaises(exception.MalformedRequestError):
-            validation.check(cfg or _configured(), puts, deletes)
+            validation.check(cfg or _make_configuration(), puts, deletes)
 
-    def test_valid_changes_pass(self):
+    def test_valid_changes_are_accepted(self):
         cfg = configuration.Configuration()
         validation.check(cfg, (_PRESET, _CURRENT), ())
-        validation.check(_configured(), (), ("target/t",))
+        validation.check(_make_configuration(), (), ("target/t",))
 
-    def test_preset_must_exist_to_be_in_force(self):
-        self.refused((("in_force/current", {"preset": "none"}),))
+    def test_preset_must_be_put_before_it_is_in_force(self):
+        self.assert_refused((("in_force/current", {"preset": "none"}),))
         empty = configuration.Configuration()
-        self.refused((_CURRENT, _PRESET), cfg=empty)
+        self.assert_refused((_CURRENT, _PRESET), cfg=empty)
 
-    def test_preset_in_force_stays(self):
-        self.refused((), ("preset/peak",))
+    def test_preset_in_force_cannot_be_deleted(self):
+        self.assert_refused((), ("preset/peak",))
 
-    def test_organisation_in_use_stays(self):
-        self.refused((), ("organisation/org",))
+    def test_organisation_in_use_cannot_be_deleted(self):
+        self.assert_refused((), ("organisation/org",))
 
-    def test_bad_values(self):
+    def test_invalid_values_are_refused(self):
         cases = {
             "address": ("target/t", {"name": "t", "address": "host:1"}),
             "port": ("target/t", {"name": "t", "address": "127.0.0.1:0"}),
             "name": ("target/t", {"name": "u", "address": "127.0.0.1:1"}),
             "kind": ("zone/t", {"name": "t"}),
-            "digest": ("organisation/o", {"name": "o", "token_sha256": "x"}),
+            "token": ("organisation/o", {"name": "o", "token_sha256": "x"}),
             "share": ("preset/p", {"name": "p", "long_share": 2.0}),
-            "who": (
+            "organisation": (
                 "deployment/e",
                 {"name": "e", "model": "m", "organisations": ["nobody"]},
             ),
@@ -59,12 +59,12 @@
         }
         for name, pair in cases.items():
             with self.subTest(name):
-                self.refused((pair,))
+                self.assert_refused((pair,))
 
-    def test_two_organisations_can_not_share_a_token(self):
+    def test_organisations_cannot_share_token(self):
         _, value = fixtures.organisation()
-        self.refused((("organisation/twin", {**value, "name": "twin"}),))
+        self.assert_refused((("organisation/twin", {**value, "name": "twin"}),))
 
-    def test_snapshot_gives_the_same_configuration(self):
-        cfg = _configured()
+    def test_snapshot_restores_configuration(self):
+        cfg = _make_configuration()
         self.assertEqual(snapshot.decode(snapshot.encode(cfg)), cfg)
