--- a/copperloom/decisions/admission.py
+++ b/copperloom/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is refused at once, with the time to come back."""
+"""Admission control: immediate refusals with a time to retry after."""
 
 import random
 
@@ -9,27 +9,29 @@
 __all__ = [
     "capacity_refusal",
     "cost_of",
-    "doomed",
-    "give_up_at",
+    "cannot_finish",
+    "expires_at",
     "overload_refusal",
     "refuse",
-    "run_s",
+    "residence_s",
     "wait_s",
 ]
 
-RETRY_LEAST_S = 0.2
-RETRY_MOST_S = 60.0
-# Those refused together must not come back together.
+MIN_RETRY_AFTER_S = 0.2
+MAX_RETRY_AFTER_S = 60.0
+# Jitter keeps callers that are refused together from retrying together.
 RETRY_JITTER = 0.5
-# A refusal is told to the caller this long before the deadline.
-MARGIN_S = 0.05
-# Predictions err; a request admitted on one waits up to this times the bound.
-OVERRUN = 2.0
-# Long work may wait longer than short, up to this share of its time left.
-LONG_WAIT_SHARE = 0.5
-# Work that needs more than its time left even if it runs twice as fast as
-# usual is not sent: it would take the place of work that can still finish.
-DOOMED_SHARE = 0.5
+# Refusals are sent this long before the deadline.
+DEADLINE_MARGIN_S = 0.05
+# An admitted short request may stay queued for this multiple of the wait bound,
+# since predictions are inexact.
+MAX_WAIT_OVERRUN = 2.0
+# Long requests may be queued for this share of their remaining time.
+MAX_LONG_WAIT_SHARE = 0.5
+# A request is refused if its remaining time is below this share of its
+# predicted residence time; it would take capacity from requests that can still
+# finish.
+MIN_RUN_SHARE = 0.5
 
 
 def cost_of(req: messages.Request) -> int:
@@ -40,45 +42,54 @@
 def wait_s(
     pool: pool_module.Pool, req: messages.Request, now: float, *, long: bool
 ) -> float:
-    """Predicts how long a request would be queued if it came now.
+    """Predicts the queueing time of a request that arrives now, in seconds.
 
-    Short work: the tokens that would go before it, by the fair queue's order,
-    over the tokens a second that leave. Long work: see `_long_wait_s`.
+    For a short request these are the tokens ahead of it in fair order, divided
+    by the throughput. For a long request see `_long_wait_s`.
     """
     if long:
         return _long_wait_s(pool, req, now)
-    ahead = fairqueue.tokens_ahead(pool.short, req)
-    if ahead <= 0.0:
+    tokens_ahead = fairqueue.tokens_ahead(pool.short, req)
+    if tokens_ahead <= 0.0:
         return 0.0
-    rate = pool_module.throughput(pool.short_residence)
-    if rate <= 0.0:
+    tokens_per_s = pool_module.throughput(pool.short_residence)
+    if tokens_per_s <= 0.0:
         return (
-            ahead * pool.first_token_stats.quick_s / max(1, len(pool.targets))
+            tokens_ahead
+            * pool.first_token_stats.baseline_s
+            / max(1, len(pool.targets))
         )
-    return ahead / rate
+    return tokens_ahead / tokens_per_s
 
 
-def run_s(pool: pool_module.Pool, cost: int, *, long: bool) -> float:
-    """Predicts how long a request stays at its target.
+def residence_s(pool: pool_module.Pool, cost: int, *, long: bool) -> float:
+    """Predicts the seconds that a request spends at its target.
 
-    0 while nothing has been seen: a guess would refuse work for which an idle
-    engine has all the time that it needs.
+    Returns 0 without samples, since a guess could refuse requests that an idle
+    engine would finish in time.
     """
-    stay = pool.long_residence if long else pool.short_residence
-    if stay.samples == 0:
+    residence = pool.long_residence if long else pool.short_residence
+    if residence.samples == 0:
         return 0.0
     if long:
-        return stay.seconds * cost / max(stay.cost, 1.0)
-    return stay.seconds
+        return residence.seconds * cost / max(residence.cost, 1.0)
+    return residence.seconds
 
 
-def give_up_at(
+def expires_at(
     req: messages.Request, preset: configuration.Preset, now: float, *, long
 ) -> float:
-    """Returns when a queued request is refused though no prediction said so."""
-    bound = _wait_bound_s(req, preset, now, long=long)
-    overrun = 1.0 if long else OVERRUN
-    return min(req.deadline - MARGIN_S, now + overrun * bound)
+    """Returns when a request is refused if it is still queued.
+
+    Args:
+        req: The request.
+        preset: The preset in force.
+        now: Monotonic seconds.
+        long: Whether the request is long.
+    """
+    bound_s = _wait_bound_s(req, preset, now, long=long)
+    overrun = 1.0 if long else MAX_WAIT_OVERRUN
+    return min(req.deadline - DEADLINE_MARGIN_S, now + overrun * bound_s)
 
 
 def overload_refusal(
@@ -90,46 +101,47 @@
     *,
     long: bool,
 ) -> messages.Refusal | None:
-    """Refuses a request that would wait too long, at once.
+    """Refuses a request whose predicted queueing time is too long.
 
-    Made for offered load above capacity, where a queue without a bound makes
-    every answer late: all work is done and none in time. A refusal at once
-    lets the caller turn elsewhere, and tells when the backlog of now will be
-    worked off. The bound is in predicted seconds, since a length in requests
-    means milliseconds or minutes according to the prompts in it.
+    Above capacity an unbounded queue makes every answer miss its deadline. An
+    immediate refusal lets the caller go elsewhere, and gives the time by which
+    the backlog should be processed. The bound is in predicted seconds, because
+    the prompts vary too much in length for a bound on the number of requests.
     """
-    wait = wait_s(pool, req, now, long=long)
-    if wait <= 0.0:
+    predicted_s = wait_s(pool, req, now, long=long)
+    if predicted_s <= 0.0:
         return None
-    bound = _wait_bound_s(req, preset, now, long=long)
-    spare = req.deadline - now - run_s(pool, cost_of(req), long=long)
-    over = wait - min(bound, spare)
-    if over <= 0.0:
+    bound_s = _wait_bound_s(req, preset, now, long=long)
+    spare_s = req.deadline - now - residence_s(pool, cost_of(req), long=long)
+    excess_s = predicted_s - min(bound_s, spare_s)
+    if excess_s <= 0.0:
         return None
     if long:
-        return capacity_refusal(req, over, rng)
-    text = f"predicted wait of {wait:.1f} s is over the limit"
-    return refuse(req, "OverloadedError", text, over, rng)
+        return capacity_refusal(req, excess_s, rng)
+    text = f"predicted wait of {predicted_s:.1f} s exceeds the limit"
+    return refuse(req, "OverloadedError", text, excess_s, rng)
 
 
 def capacity_refusal(
     req: messages.Request, after_s: float, rng: random.Random
 ) -> messages.Refusal:
-    """Refuses long work for which no memory comes in time."""
-    text = "no memory for long work in its time limit"
+    """Refuses a long request that gets no memory in time."""
+    text = "no engine memory free for a long request in time"
     return refuse(req, "CapacityExceededError", text, after_s, rng)
 
 
-def doomed(
+def cannot_finish(
     pool: pool_module.Pool, req: messages.Request, now: float, *, long: bool
 ) -> bool:
-    """Tells whether a queued request can't finish any more.
+    """Returns whether a queued request can no longer finish in time.
 
-    Only the prompt is counted: the answer's tokens are a bound that callers
-    set high and few answers reach.
+    Only the prompt is counted: `max_tokens` is an upper bound that few answers
+    reach.
     """
-    needed = DOOMED_SHARE * run_s(pool, max(1, req.prompt_tokens), long=long)
-    return now + needed > req.deadline
+    needed_s = MIN_RUN_SHARE * residence_s(
+        pool, max(1, req.prompt_tokens), long=long
+    )
+    return now + needed_s > req.deadline
 
 
 def refuse(
@@ -139,34 +151,35 @@
     after_s: float,
     rng: random.Random,
 ) -> messages.Refusal:
-    """Makes a refusal with a jittered time to come back."""
-    after_s = min(max(after_s, RETRY_LEAST_S), RETRY_MOST_S)
+    """Builds a refusal with a jittered time to retry after."""
+    after_s = min(max(after_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     after_s *= 1.0 + RETRY_JITTER * rng.random()
     return messages.Refusal(req, error, text, after_s)
 
 
 def _long_wait_s(pool, req, now):
-    """Predicts the wait of long work.
+    """Predicts the queueing time of a long request, in seconds.
 
-    An entry has a few long requests at most, so its own throughput says
-    little; what all entries have at the engines does, from their reports. The
-    wait of the one at the head is a bound from below that needs no estimate.
+    An instance has too few long requests for its own throughput to be a useful
+    estimate, so the prediction uses the prefill backlog of all instances from
+    the engines' reports. The wait of the first request in the queue is a lower
+    bound.
     """
     if not pool.long:
         return 0.0
-    ahead = fairqueue.tokens_ahead(pool.long, req)
-    ahead += sum(load.prefill_tokens(t, now) for t in pool.long_part)
+    tokens_ahead = fairqueue.tokens_ahead(pool.long, req)
+    tokens_ahead += sum(load.prefill_tokens(t, now) for t in pool.long_targets)
     head = fairqueue.first(pool.long, 1)[0]
-    worked_off = (
-        ahead
-        * pool.long_first_token_stats.quick_s
-        / max(1, len(pool.long_part))
+    drained_s = (
+        tokens_ahead
+        * pool.long_first_token_stats.baseline_s
+        / max(1, len(pool.long_targets))
     )
-    return max(worked_off, now - head.queued_at)
+    return max(drained_s, now - head.queued_at)
 
 
 def _wait_bound_s(req, preset, now, *, long):
-    bound = preset.max_queue_wait_s
+    bound_s = preset.max_queue_wait_s
     if long:
-        bound = max(bound, LONG_WAIT_SHARE * (req.deadline - now))
-    return bound
+        bound_s = max(bound_s, MAX_LONG_WAIT_SHARE * (req.deadline - now))
+    return bound_s
--- a/copperloom/decisions/affinity.py
+++ b/copperloom/decisions/affinity.py
@@ -1,26 +1,25 @@
-"""Prefix affinity: prompts that start alike go to the same target.
+"""Prefix affinity: prompts with a common prefix go to the same target.
 
-A ring of hashed points (consistent hashing) gives each prefix a first and a
-second home, the same at every entry; a look-up costs O(log n). Whether the
-home is taken is decided by cost, in `copperloom.decisions.placement`, which
-bounds the load that a hot prefix brings there.
+A consistent-hash ring gives each prefix two home targets, the same at every
+instance; a lookup takes O(log n). Whether a home is used depends on its cost in
+`copperloom.decisions.placement`, which bounds the load of a hot prefix.
 """
 
 import bisect
 
 import xxhash
 
-__all__ = ["Ring", "homes", "make"]
+__all__ = ["Ring", "homes", "build"]
 
 POINTS_PER_TARGET = 4
 HOMES = 2
 
 
 class Ring:
-    """Hashed points of targets.
+    """Consistent-hash ring of targets.
 
     Attributes:
-        points: Hash values in order.
+        points: Hash values in ascending order.
         names: The target of each point.
     """
 
@@ -29,8 +28,8 @@
         self.names = names
 
 
-def make(names: list[str]) -> Ring:
-    """Makes the ring of some targets; costs O(n log n)."""
+def build(names: list[str]) -> Ring:
+    """Builds the ring of the named targets, in O(n log n)."""
     pairs = sorted(
         (xxhash.xxh64_intdigest(f"{name}/{i}".encode()), name)
         for name in names
@@ -40,7 +39,7 @@
 
 
 def homes(ring: Ring, prefix: str) -> list[str]:
-    """Returns the prefix's homes, the preferred one first."""
+    """Returns the home targets of a prefix, the preferred one first."""
     if not ring.points:
         return []
     start = bisect.bisect(ring.points, xxhash.xxh64_intdigest(prefix.encode()))
--- a/copperloom/decisions/concurrency.py
+++ b/copperloom/decisions/concurrency.py
@@ -1,44 +1,52 @@
-"""Adaptive limit of the streams that this entry keeps at one target.
-
-Made for an engine that is offered more than it can prefill or hold: work that
-waits at the engine can't be reordered, moved or refused any more, so it is
-kept here, where the queue is fair and sees deadlines. The limit grows by
-a few streams a round while first tokens come quickly and shrinks by a tenth
-when they come late (additive increase, multiplicative decrease, as in
-Chiu and Jain 1989), so that entries that share an engine converge to equal
-shares without a message.
+"""Adaptive limit of the requests that this instance has at one target.
+
+Requests queued at an engine can no longer be reordered, moved or refused.
+Beyond the limit they are therefore queued here, in fair order and with regard
+to deadlines. The limit grows by a few streams per round while first tokens come
+quickly, and shrinks by a tenth when they are slow (additive increase,
+multiplicative decrease; Chiu and Jain 1989), so that instances that share an
+engine converge to equal shares without communication.
 """
 
 import dataclasses
 
 from copperloom.decisions import load
 
-__all__ = ["FirstTokenStats", "ended", "learn", "observe", "slowness"]
+__all__ = [
+    "FirstTokenStats",
+    "record_residence",
+    "update_baseline",
+    "record_first_token",
+    "slowness",
+]
 
-# Fixed part of a first token's time, as prompt tokens.
+# Fixed cost of a first token, in prompt tokens.
 OVERHEAD_TOKENS = 500
-LIMIT_LEAST = 1.0
-LIMIT_MOST = 256.0
-CUT = 0.9
-# One cut for the answers of one round; a burst of late ones is one event.
-CUT_INTERVAL_S = 0.5
-# Late is this many times the pool's median, and by so many seconds: a prompt
-# whose prefix was not cached takes four times as long without any queue.
-LATE_RATIO = 4.0
-LATE_EXCESS_S = 0.5
-# Streams added in a round of quick answers.
-GROWTH = 4.0
-# An answer that takes this share of its time limit at the target is late too:
-# a large batch gives first tokens soon and every later one slowly.
-LATE_SHARE = 0.7
+MIN_LIMIT = 1.0
+MAX_LIMIT = 256.0
+LIMIT_CUT_FACTOR = 0.9
+# At most one cut per interval: a burst of slow answers is one event.
+LIMIT_CUT_INTERVAL_S = 0.5
+# A first token is slow if it exceeds the pool's median by this factor and by
+# this many seconds. The factor leaves room for prefix cache misses, which take
+# several times as long without any queueing.
+SLOW_RATIO = 4.0
+SLOW_EXCESS_S = 0.5
+# Streams added to the limit per round of quick answers.
+LIMIT_GROWTH = 4.0
+# An answer that takes more than this share of its time limit at the target
+# counts as slow: with a large batch first tokens come soon, but decoding is
+# slow.
+MAX_RESIDENCE_SHARE = 0.7
 RATIO_GAIN = 0.2
-# An old verdict on a target that gets no work fades, so that it returns.
+# The ratio of a target without new samples decays towards the pool's median, so
+# that the target gets requests again.
 RATIO_HALF_LIFE_S = 10.0
-# The quick time is a low quantile (1 in 4), moved by small steps: a minimum
-# would follow cache hits, a mean would follow congestion.
+# The baseline is a low quantile, adjusted in small steps: a minimum would
+# follow cache hits, a mean would follow congestion.
 QUANTILE_STEP = 0.01
 QUANTILE = 0.25
-DEFAULT_QUICK_S = 1e-4
+DEFAULT_BASELINE_S = 1e-4
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,18 +54,18 @@
     """First-token times of one pool, per prompt token.
 
     Attributes:
-        quick_s: Low quantile of seconds per token when little is in the way.
-        median: Median over the pool of first-token time over quick time.
-        samples: Times seen.
+        baseline_s: Seconds per token without congestion (a low quantile).
+        median: Median over the pool of first-token time over baseline.
+        samples: Number of times recorded.
     """
 
-    quick_s: float = DEFAULT_QUICK_S
+    baseline_s: float = DEFAULT_BASELINE_S
     median: float = 1.0
     samples: int = 0
 
 
-def observe(
-    pace: FirstTokenStats,
+def record_first_token(
+    stats: FirstTokenStats,
     tgt: load.TargetLoad,
     prompt_tokens: int,
     first_token_s: float,
@@ -65,76 +73,78 @@
     *,
     adapt: bool = True,
 ) -> None:
-    """Learns from one first-token time of short work.
+    """Records the first-token time of a short request.
 
     Args:
-        pace: The pool's pace.
+        stats: First-token times of the pool.
         tgt: The target.
         prompt_tokens: Tokens of the prompt.
         first_token_s: Seconds from sending to the first token.
         now: Monotonic seconds.
-        adapt: Whether the limit moves.
+        adapt: Whether the target's limit is adjusted.
     """
-    unit = learn(pace, prompt_tokens, first_token_s)
-    ratio = unit / pace.quick_s
+    s_per_token = update_baseline(stats, prompt_tokens, first_token_s)
+    ratio = s_per_token / stats.baseline_s
     if tgt.samples == 0:
         tgt.ratio = ratio
     tgt.ratio += RATIO_GAIN * (ratio - tgt.ratio)
     tgt.ratio_at = now
     tgt.samples += 1
     if adapt:
-        usual_s = first_token_s * pace.median / ratio
-        late = ratio > LATE_RATIO * pace.median
-        _adapt(tgt, late and first_token_s > usual_s + LATE_EXCESS_S, now)
+        median_s = first_token_s * stats.median / ratio
+        is_slow = ratio > SLOW_RATIO * stats.median
+        _adjust_limit(
+            tgt, is_slow and first_token_s > median_s + SLOW_EXCESS_S, now
+        )
 
 
-def ended(
-    tgt: load.TargetLoad, stay_s: float, limit_s: float, now: float
+def record_residence(
+    tgt: load.TargetLoad, residence_s: float, time_limit_s: float, now: float
 ) -> None:
     """Cuts the limit if an answer took a large share of its time limit.
 
     Args:
         tgt: The target.
-        stay_s: Seconds at the target.
-        limit_s: The request's whole time limit.
+        residence_s: Seconds at the target.
+        time_limit_s: The request's total time limit in seconds.
         now: Monotonic seconds.
     """
-    if stay_s > LATE_SHARE * limit_s:
-        _adapt(tgt, True, now)
+    if residence_s > MAX_RESIDENCE_SHARE * time_limit_s:
+        _adjust_limit(tgt, True, now)
 
 
-def slowness(pace: FirstTokenStats, tgt: load.TargetLoad, now: float) -> float:
-    """Returns the target's first-token time over its pool's, at least 0.5."""
+def slowness(stats: FirstTokenStats, tgt: load.TargetLoad, now: float) -> float:
+    """Returns the target's slowness relative to its pool, at least 0.5."""
     if tgt.ratio <= 0.0:
         return 1.0
-    faded = 0.5 ** ((now - tgt.ratio_at) / RATIO_HALF_LIFE_S)
-    excess = tgt.ratio / max(pace.median, 1e-6) - 1.0
-    return max(0.5, 1.0 + excess * faded)
+    decay = 0.5 ** ((now - tgt.ratio_at) / RATIO_HALF_LIFE_S)
+    excess = tgt.ratio / max(stats.median, 1e-6) - 1.0
+    return max(0.5, 1.0 + excess * decay)
 
 
-def learn(
-    pace: FirstTokenStats, prompt_tokens: int, first_token_s: float
+def update_baseline(
+    stats: FirstTokenStats, prompt_tokens: int, first_token_s: float
 ) -> float:
-    """Learns from a first-token time; returns its seconds per token."""
-    unit = max(first_token_s, 1e-6) / (prompt_tokens + OVERHEAD_TOKENS)
-    pace.samples += 1
-    if pace.samples == 1:
-        pace.quick_s = unit
-    # The first samples move it faster, to leave a wrong start behind.
-    step = max(QUANTILE_STEP, 0.5 / pace.samples)
-    if unit > pace.quick_s:
-        pace.quick_s *= 1.0 + step * QUANTILE
+    """Adds a first-token time; returns its seconds per token."""
+    s_per_token = max(first_token_s, 1e-6) / (prompt_tokens + OVERHEAD_TOKENS)
+    stats.samples += 1
+    if stats.samples == 1:
+        stats.baseline_s = s_per_token
+    # Larger steps at first correct a poor initial value.
+    step = max(QUANTILE_STEP, 0.5 / stats.samples)
+    if s_per_token > stats.baseline_s:
+        stats.baseline_s *= 1.0 + step * QUANTILE
     else:
-        pace.quick_s *= 1.0 - step * (1.0 - QUANTILE)
-    above = unit / pace.quick_s > pace.median
-    pace.median *= 1.0 + (step if above else -step)
-    pace.median = max(1.0, pace.median)
-    return unit
+        stats.baseline_s *= 1.0 - step * (1.0 - QUANTILE)
+    above = s_per_token / stats.baseline_s > stats.median
+    stats.median *= 1.0 + (step if above else -step)
+    stats.median = max(1.0, stats.median)
+    return s_per_token
 
 
-def _adapt(tgt: load.TargetLoad, late: bool, now: float) -> None:
-    if late and now - tgt.limit_cut_at >= CUT_INTERVAL_S:
-        tgt.limit = max(LIMIT_LEAST, tgt.limit * CUT)
+def _adjust_limit(tgt: load.TargetLoad, is_slow: bool, now: float) -> None:
+    if is_slow and now - tgt.limit_cut_at >= LIMIT_CUT_INTERVAL_S:
+        tgt.limit = max(MIN_LIMIT, tgt.limit * LIMIT_CUT_FACTOR)
         tgt.limit_cut_at = now
-    elif not late and tgt.streams * 2 >= tgt.limit:
-        tgt.limit = min(LIMIT_MOST, tgt.limit + GROWTH / tgt.limit)
+    elif not is_slow and tgt.streams * 2 >= tgt.limit:
+        tgt.limit = min(MAX_LIMIT, tgt.limit + LIMIT_GROWTH / tgt.limit)
--- a/copperloom/decisions/fairqueue.py
+++ b/copperloom/decisions/fairqueue.py
@@ -1,9 +1,9 @@
 """Start-time fair queue of requests, by organisation and estimated tokens.
 
-Method: Goyal, Vin and Cheng, "Start-time Fair Queueing" (SIGCOMM 1996). Each
+Implements Goyal, Vin and Cheng, "Start-time Fair Queueing" (SIGCOMM 1996). Each
 request gets a start tag, the greater of the queue's virtual time and its
-organisation's last finish tag; the least start tag goes first. Push, pop and
-remove cost O(log n).
+organisation's last finish tag; the lowest start tag is served first. Push, pop
+and remove take O(log n).
 """
 
 import dataclasses
@@ -23,10 +23,10 @@
     "tokens_ahead",
 ]
 
-# Finish tags of idle organisations are dropped once there are this many, or
-# twice those that were left the last time, so that 25,000 organisations that
-# came by once hold no memory and a push stays cheap with many that wait.
-TAGS_MOST = 1_000
+# Finish tags of idle organisations are removed once there are this many tags,
+# or twice as many as remained after the last removal. This bounds memory and
+# keeps the amortised cost of a push low.
+MIN_TAGS_TO_PRUNE = 1_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,9 +37,9 @@
         request: The request.
         cost: Its estimated tokens.
         start: Start tag.
-        sequence: Order among equal tags.
+        sequence: Order among equal start tags.
         queued_at: Monotonic time at which it was queued.
-        give_up_at: Monotonic time at which it is refused if still queued.
+        expires_at: Monotonic time at which it is refused if still queued.
     """
 
     request: messages.Request
@@ -47,23 +47,24 @@
     start: float
     sequence: int
     queued_at: float
-    give_up_at: float
+    expires_at: float
 
 
 class FairQueue:
     """Queued requests of one pool and one class of length.
 
     Attributes:
-        fair: Whether organisations are kept apart; else first come.
+        fair: Whether requests are in fair order; first come, first served if
+            not.
         items: Items by request id.
-        order: (start, sequence, id), least first.
-        expiry: (give_up_at, id), least first.
+        order: (start, sequence, id), lowest first.
+        expiry: (expires_at, id), earliest first.
         tokens: Sum of the costs.
         waiting: Number of queued requests by organisation.
-        weights: Sum of the weights of the organisations that wait.
-        virtual: Start tag of the last request popped.
+        weights: Sum of the weights of organisations with queued requests.
+        virtual: Virtual time: the start tag of the last request popped.
         finish: Finish tags by organisation.
-        finish_most: Number of finish tags at which idle ones are dropped.
+        prune_at: Number of finish tags above which idle ones are removed.
     """
 
     def __init__(self, *, fair: bool = True):
@@ -76,7 +77,7 @@
         self.weights = 0.0
         self.virtual = 0.0
         self.finish: dict[str, float] = {}
-        self.finish_most = TAGS_MOST
+        self.prune_at = MIN_TAGS_TO_PRUNE
         self.sequence = itertools.count()
 
     def __len__(self):
@@ -84,7 +85,7 @@
 
 
 def start_tag(queue: FairQueue, organisation: str) -> float:
-    """Returns the start tag that the organisation's next request gets."""
+    """Returns the start tag of an organisation's next request."""
     if not queue.fair:
         return 0.0
     return max(queue.virtual, queue.finish.get(organisation, 0.0))
@@ -95,34 +96,34 @@
     req: messages.Request,
     cost: int,
     now: float,
-    give_up_at: float,
+    expires_at: float,
     *,
     again: bool = False,
 ) -> None:
     """Queues a request.
 
-    Made for one organisation that sends most of the load: its tags run ahead
-    of the virtual time, so that the others' requests pass its backlog.
+    The tags of an organisation that sends most of the load run ahead of the
+    virtual time, so that requests of the others overtake its backlog.
 
     Args:
         queue: The queue.
         req: The request.
         cost: Its estimated tokens.
         now: Monotonic seconds.
-        give_up_at: When it is to be refused if it is still queued.
-        again: Whether it was dispatched before; it paid then, and waits no
-            second time.
+        expires_at: Monotonic time at which it is refused if still queued.
+        again: Whether it was dispatched before; its cost has been charged then,
+            and it goes to the head of the queue.
     """
     start = queue.virtual if again else start_tag(queue, req.organisation)
     if queue.fair and not again:
         queue.finish[req.organisation] = start + cost / max(req.weight, 1e-6)
-        if len(queue.finish) > queue.finish_most:
-            _drop_idle(queue)
+        if len(queue.finish) > queue.prune_at:
+            _prune_idle(queue)
     sequence = -1 if again else next(queue.sequence)
-    item = Item(req, cost, start, sequence, now, give_up_at)
+    item = Item(req, cost, start, sequence, now, expires_at)
     queue.items[req.id] = item
     queue.order.add((start, sequence, req.id))
-    queue.expiry.add((give_up_at, req.id))
+    queue.expiry.add((expires_at, req.id))
     queue.tokens += cost
     count = queue.waiting.get(req.organisation, 0)
     queue.waiting[req.organisation] = count + 1
@@ -130,27 +131,27 @@
 
 
 def first(queue: FairQueue, count: int) -> list[Item]:
-    """Returns the first items in order, without removing them."""
+    """Returns the first items in order without removing them."""
     return [queue.items[key[2]] for key in queue.order.islice(0, count)]
 
 
 def pop(queue: FairQueue, item: Item) -> None:
-    """Removes an item that is dispatched, and moves the virtual time."""
+    """Removes a dispatched item and advances the virtual time."""
     queue.virtual = max(queue.virtual, item.start)
     remove(queue, item.request.id)
 
 
 def remove(queue: FairQueue, request_id: str) -> Item | None:
-    """Removes an item that is given up; returns it if it was there."""
+    """Removes an item by request id; returns None if it is not queued."""
     item = queue.items.pop(request_id, None)
     if item is None:
         return None
     queue.order.remove((item.start, item.sequence, request_id))
-    queue.expiry.remove((item.give_up_at, request_id))
+    queue.expiry.remove((item.expires_at, request_id))
     queue.tokens -= item.cost
-    _count_out(queue, item.request)
+    _uncount(queue, item.request)
     if not queue.items:
-        # An idle queue starts afresh: nobody waits, so nobody is owed.
+        # Without a backlog no organisation has a claim left.
         queue.finish.clear()
         queue.virtual = 0.0
         queue.weights = 0.0
@@ -158,12 +159,11 @@
 
 
 def tokens_ahead(queue: FairQueue, req: messages.Request) -> float:
-    """Estimates the tokens that go before a request if it came now.
+    """Estimates the tokens served before a request that arrives now.
 
-    The greater of what stands before it, and of what will come before it
-    while the organisations that wait go on sending: the virtual time has to
-    reach its start tag, and moves by one for each token of each unit of
-    weight that waits.
+    This is the greater of two values: the tokens queued ahead of it, and the
+    tokens that will be served before the virtual time reaches its start tag if
+    the waiting organisations keep sending.
     """
     if not queue.items:
         return 0.0
@@ -173,18 +173,18 @@
     return max(before, (tag - queue.virtual) * queue.weights)
 
 
-def _count_out(queue: FairQueue, req: messages.Request) -> None:
-    left = queue.waiting[req.organisation] - 1
-    if left:
-        queue.waiting[req.organisation] = left
+def _uncount(queue: FairQueue, req: messages.Request) -> None:
+    remaining = queue.waiting[req.organisation] - 1
+    if remaining:
+        queue.waiting[req.organisation] = remaining
         return
     del queue.waiting[req.organisation]
     queue.weights -= req.weight
 
 
-def _drop_idle(queue: FairQueue) -> None:
-    """Forgets organisations whose finish tag the virtual time has passed."""
+def _prune_idle(queue: FairQueue) -> None:
+    """Removes finish tags that the virtual time has passed."""
     queue.finish = {
         name: tag for name, tag in queue.finish.items() if tag > queue.virtual
     }
-    queue.finish_most = max(TAGS_MOST, 2 * len(queue.finish))
+    queue.prune_at = max(MIN_TAGS_TO_PRUNE, 2 * len(queue.finish))
--- a/copperloom/decisions/groups.py
+++ b/copperloom/decisions/groups.py
@@ -1,16 +1,16 @@
-"""Groups of engines for prompts that are larger than one engine's memory."""
+"""Groups of engines for prompts that exceed one engine's memory."""
 
 from collections.abc import Callable
 
 from copperloom.decisions import load
 
-__all__ = ["GROUP_MOST", "choose", "split"]
+__all__ = ["MAX_GROUP_SIZE", "choose", "split"]
 
-# Each part is a reservation and a KV transfer that must all succeed; eight
-# engines hold the longest prompt of today three times over.
-GROUP_MOST = 8
-# Smaller parts cost a transfer and save little.
-LEAST_PART_TOKENS = 16_000
+# Each part is a reservation and a KV transfer that must all succeed, so the
+# probability of failure grows with the size of a group.
+MAX_GROUP_SIZE = 8
+# Smaller parts do not repay the cost of a KV transfer.
+MIN_PART_TOKENS = 16_000
 
 
 def choose(
@@ -18,54 +18,57 @@
     need: int,
     free: Callable[[load.TargetLoad], int],
 ) -> list[tuple[load.TargetLoad, int]]:
-    """Chooses engines and the tokens of each part.
+    """Chooses engines and the KV tokens to take at each.
 
-    The engines with the most free memory are taken, so that the parts are
-    few. They come back in the order that all entries share: two entries that
-    reserve the same engines then meet at the first one, and one of them gets
-    all; in different orders each would take a part and both fail.
+    The engines with the most free memory are chosen, so that there are few
+    parts. They are returned in rank order: two instances that reserve the same
+    engines then conflict at the first one, and one of them gets all. In
+    different orders each could get some and both would fail.
 
     Args:
-        targets: Engines that may take part.
+        targets: Candidate engines.
         need: KV tokens of prompt and answer.
-        free: Gives the free KV tokens of an engine.
+        free: Returns the free KV tokens of an engine.
 
     Returns:
-        Engines with their tokens, or nothing if the memory is not free now.
+        Engines with their tokens; empty if there is not enough free memory.
     """
     usable = [(free(t), t.rank, t) for t in targets]
-    usable = [u for u in usable if u[0] >= LEAST_PART_TOKENS]
+    usable = [u for u in usable if u[0] >= MIN_PART_TOKENS]
     usable.sort(key=lambda u: (-u[0], u[1]))
     taken = []
     total = 0
-    for room, order, tgt in usable[:GROUP_MOST]:
-        taken.append((order, room, tgt))
-        total += room
+    for free_tokens, rank, tgt in usable[:MAX_GROUP_SIZE]:
+        taken.append((rank, free_tokens, tgt))
+        total += free_tokens
         if total >= need:
             break
     if total < need:
         return []
     taken.sort(key=lambda t: t[0])
-    parts = split([room for _, room, _ in taken], need)
+    parts = split([free_tokens for _, free_tokens, _ in taken], need)
     return [(t[2], part) for t, part in zip(taken, parts, strict=True)]
 
 
-def split(rooms: list[int], need: int) -> list[int]:
-    """Splits a need over rooms as evenly as they allow.
+def split(capacities: list[int], need: int) -> list[int]:
+    """Splits tokens over engines as evenly as their capacities allow.
 
-    Even parts are prefilled in the shortest time, since the parts run side by
-    side.
+    The parts are prefilled in parallel, so even parts take the shortest time.
+
+    Args:
+        capacities: Free KV tokens of each engine.
+        need: Tokens to split.
 
     Raises:
-        ValueError: The rooms are too small together.
+        ValueError: The total capacity is too small.
     """
-    if sum(rooms) < need:
-        raise ValueError(f"{need} tokens do not fit")
-    parts = [0] * len(rooms)
-    left = need
-    by_size = sorted(range(len(rooms)), key=lambda i: rooms[i])
-    for done, index in enumerate(by_size):
-        others = len(rooms) - done
-        parts[index] = min(rooms[index], -(-left // others))
-        left -= parts[index]
+    if sum(capacities) < need:
+        raise ValueError(f"{need} tokens exceed the total capacity")
+    parts = [0] * len(capacities)
+    remaining = need
+    by_size = sorted(range(len(capacities)), key=lambda i: capacities[i])
+    for filled, index in enumerate(by_size):
+        unfilled = len(capacities) - filled
+        parts[index] = min(capacities[index], -(-remaining // unfilled))
+        remaining -= parts[index]
     return parts
--- a/copperloom/decisions/inflight_requests.py
+++ b/copperloom/decisions/inflight_requests.py
@@ -1,4 +1,4 @@
-"""Work in flight: counted from its placement until it is over."""
+"""Accounting of requests in flight, from placement to completion."""
 
 from copperloom import messages
 from copperloom.decisions import (
@@ -19,7 +19,7 @@
     "record_success",
 ]
 
-# Priorities at the engine.
+# Request priorities sent to the engine.
 SHORT_PRIORITY = 10
 LONG_PRIORITY = 0
 
@@ -33,15 +33,15 @@
     *,
     long: bool,
 ) -> messages.Placement:
-    """Counts a request at its targets and returns its placement."""
+    """Adds a request to the load of its targets and returns its placement."""
     req = item.request
     tokens = tuple(part for _, part in chosen)
-    # The answer is generated at the lead, so its tokens are no prompt there.
+    # The lead engine's share includes the tokens of the answer.
     prompts = (max(0, tokens[0] - req.max_tokens), *tokens[1:])
     for (tgt, part), prompt in zip(chosen, prompts, strict=True):
         load.add(tgt, prompt, part, long=long)
     pool_module.residence(pool, long=long).in_flight += item.cost
-    made = messages.Placement(
+    placement = messages.Placement(
         req,
         tuple(tgt.name for tgt, _ in chosen),
         tokens,
@@ -49,70 +49,81 @@
         long=long and sched.uses("reservations"),
     )
     sched.inflight[req.id] = state.InflightRequest(
-        made, pool, prompts, item.cost, long, now
+        placement, pool, prompts, item.cost, long, now
     )
-    return made
+    return placement
 
 
 def record_first_token(
     sched: state.Scheduler,
-    flight: state.InflightRequest,
+    inflight: state.InflightRequest,
     now: float,
     seconds: float,
 ) -> None:
-    """Takes the prompt off the prefill, and learns from its time."""
-    _started(sched, flight)
-    if not flight.long:
-        _observe(sched, flight, now, seconds)
+    """Records the first token of a request and updates the statistics.
+
+    Args:
+        sched: The scheduler.
+        inflight: The request.
+        now: Monotonic seconds.
+        seconds: Seconds from sending to the first token.
+    """
+    _end_prefill(sched, inflight)
+    if not inflight.long:
+        _record_short_first_token(sched, inflight, now, seconds)
         return
-    concurrency.learn(
-        flight.pool.long_first_token_stats, flight.prompts[0], seconds
+    concurrency.update_baseline(
+        inflight.pool.long_first_token_stats, inflight.prompts[0], seconds
     )
-    for name in flight.placement.targets:
+    for name in inflight.placement.targets:
         if name in sched.targets:
             sched.targets[name].denials = 0
 
 
 def record_success(
-    sched: state.Scheduler, flight: state.InflightRequest, now: float
+    sched: state.Scheduler, inflight: state.InflightRequest, now: float
 ) -> None:
-    """Learns from work that finished well."""
-    seconds = now - flight.placed_at
-    tgt = sched.targets.get(flight.placement.targets[0])
+    """Records a request that completed without an error."""
+    seconds = now - inflight.placed_at
+    tgt = sched.targets.get(inflight.placement.targets[0])
     if tgt is not None:
-        if flight.waiting and not flight.long:
-            _observe(sched, flight, now, seconds)
+        if inflight.waiting and not inflight.long:
+            _record_short_first_token(sched, inflight, now, seconds)
         ejection.succeeded(tgt, now)
     retries.earn(sched.budget)
-    stay = pool_module.residence(flight.pool, long=flight.long)
-    pool_module.learn(stay, flight.cost, seconds)
+    residence_stats = pool_module.residence(inflight.pool, long=inflight.long)
+    pool_module.record_residence(residence_stats, inflight.cost, seconds)
 
 
 def record_residence(
-    sched: state.Scheduler, flight: state.InflightRequest, now: float
+    sched: state.Scheduler, inflight: state.InflightRequest, now: float
 ) -> None:
-    """Learns from how long work stayed at its target, however it ended."""
-    req = flight.placement.request
-    tgt = sched.targets.get(flight.placement.targets[0])
-    if tgt is None or flight.long or not sched.uses("concurrency"):
+    """Records a residence time, whatever the outcome."""
+    req = inflight.placement.request
+    tgt = sched.targets.get(inflight.placement.targets[0])
+    if tgt is None or inflight.long or not sched.uses("concurrency"):
         return
-    stay_s = now - flight.placed_at
-    concurrency.ended(tgt, stay_s, req.deadline - req.arrived, now)
+    residence_s = now - inflight.placed_at
+    concurrency.record_residence(
+        tgt, residence_s, req.deadline - req.arrived, now
+    )
 
 
 def remove(sched: state.Scheduler, request_id: str) -> None:
-    """Counts work that is over, however it ended; safe to repeat."""
-    flight = sched.inflight.pop(request_id, None)
-    if flight is None:
+    """Removes a request from the load of its targets; idempotent."""
+    inflight = sched.inflight.pop(request_id, None)
+    if inflight is None:
         return
-    if flight.waiting:
-        _started(sched, flight)
-    stay = pool_module.residence(flight.pool, long=flight.long)
-    stay.in_flight -= flight.cost
-    made = flight.placement
-    for name, held in zip(made.targets, made.tokens, strict=True):
+    if inflight.waiting:
+        _end_prefill(sched, inflight)
+    residence_stats = pool_module.residence(inflight.pool, long=inflight.long)
+    residence_stats.in_flight -= inflight.cost
+    placement = inflight.placement
+    for name, held_tokens in zip(
+        placement.targets, placement.tokens, strict=True
+    ):
         if name in sched.targets:
-            load.remove(sched.targets[name], held, long=flight.long)
+            load.remove(sched.targets[name], held_tokens, long=inflight.long)
 
 
 def _priority(sched: state.Scheduler, req: messages.Request) -> int:
@@ -122,28 +133,30 @@
     return LONG_PRIORITY
 
 
-def _started(sched: state.Scheduler, flight: state.InflightRequest) -> None:
-    flight.waiting = False
-    names = flight.placement.targets
-    for name, prompt in zip(names, flight.prompts, strict=True):
+def _end_prefill(
+    sched: state.Scheduler, inflight: state.InflightRequest
+) -> None:
+    inflight.waiting = False
+    names = inflight.placement.targets
+    for name, prompt in zip(names, inflight.prompts, strict=True):
         if name in sched.targets:
-            load.started(sched.targets[name], prompt, long=flight.long)
+            load.end_prefill(sched.targets[name], prompt, long=inflight.long)
 
 
-def _observe(
+def _record_short_first_token(
     sched: state.Scheduler,
-    flight: state.InflightRequest,
+    inflight: state.InflightRequest,
     now: float,
     seconds: float,
 ) -> None:
-    pool = flight.pool
-    tgt = sched.targets.get(flight.placement.targets[0])
+    pool = inflight.pool
+    tgt = sched.targets.get(inflight.placement.targets[0])
     if tgt is None:
         return
-    concurrency.observe(
+    concurrency.record_first_token(
         pool.first_token_stats,
         tgt,
-        flight.prompts[0],
+        inflight.prompts[0],
         seconds,
         now,
         adapt=sched.uses("concurrency"),
--- a/copperloom/decisions/load.py
+++ b/copperloom/decisions/load.py
@@ -1,8 +1,8 @@
-"""What this entry knows of the load of one target.
+"""Load of one target as known to this instance.
 
-Three views with different faults are joined: this entry's own work (exact),
-the peers' work (a digest old) and the target's own report (lagging, and it
-counts the other two again).
+Three sources are combined: this instance's own requests (exact), the load
+that peers report (delayed) and the target's own report (delayed, and including
+the other two).
 """
 
 import dataclasses
@@ -16,57 +16,62 @@
     "long_kv_in_use",
     "prefill_tokens",
     "remove",
-    "started",
-    "take_report",
+    "end_prefill",
+    "record_report",
     "wait_tokens",
 ]
 
-# A prompt of ordinary length is prefilled in less time than a report is old.
+# The weight of a report halves in this time, because an ordinary prompt is
+# prefilled before the next report arrives.
 REPORT_HALF_LIFE_S = 0.5
-# What a decoding stream adds to the wait of a new prompt, as prompt tokens.
+# Prompt tokens that a decoding stream adds to the wait of a new prompt.
 STREAM_TOKENS = 50
-# A stream that waits at the engine shows that its memory is full.
+# The same for a stream queued at the engine, which indicates full KV memory.
 WAITING_TOKENS = 2_000
 INITIAL_LIMIT = 16.0
 
 
 @dataclasses.dataclass(slots=True)
 class TargetLoad:
-    """Load and health of one target as seen from this entry.
+    """Load and health of one target as known to this instance.
 
     Attributes:
-        name: The target.
-        kv_tokens: KV memory in tokens, the lesser of the two that follow.
-        configured_kv_tokens: KV memory as the operators set it.
-        said_kv_tokens: KV memory by its own report; 0 before the first one.
-        rank: Place in the order that all entries share.
-        long_streams: Own streams of long work in flight.
-        streams: Own streams in flight.
-        prefill_tokens: Own prompt tokens of short work without first token.
-        held_tokens: KV tokens of all own work in flight.
-        long_tokens: KV tokens of own long work in flight.
-        long_prefill_tokens: Own long prompt tokens without first token.
-        peer_streams: Streams that peers told of.
-        peer_prefill_tokens: Prompt tokens that peers told of.
-        report: Its last report.
+        name: Name of the target.
+        kv_tokens: KV memory in tokens, the lesser of the configured and the
+            reported value.
+        configured_kv_tokens: KV memory in tokens by the configuration.
+        reported_kv_tokens: KV memory in tokens by the target's report; 0 before
+            the first report.
+        rank: Sort key of the target, the same at every instance.
+        long_streams: Own long requests in flight.
+        streams: Own requests in flight.
+        prefill_tokens: Prompt tokens of own short requests without a first
+            token.
+        held_tokens: KV tokens of own requests in flight.
+        long_tokens: KV tokens of own long requests in flight.
+        long_prefill_tokens: Prompt tokens of own long requests without a first
+            token.
+        peer_streams: Requests in flight at peers.
+        peer_prefill_tokens: Prompt tokens without a first token at peers.
+        report: The last report.
         reported_at: Monotonic time that the report describes.
-        held_at_report: `held_tokens` when the report came.
-        limit: Most own streams at once.
-        limit_cut_at: When the limit was last cut.
-        ratio: Average of first-token time over the pool's quick time.
-        ratio_at: When `ratio` last changed.
-        samples: First-token times seen since the last ejection.
-        failures: Failures in a row.
-        ejections: Ejections in a row.
+        held_at_report: `held_tokens` when the report arrived.
+        limit: Most own requests in flight at once.
+        limit_cut_at: Monotonic time at which the limit was last cut.
+        ratio: Mean of first-token time over the pool's baseline.
+        ratio_at: Monotonic time at which `ratio` last changed.
+        samples: First-token times recorded since the last ejection.
+        failures: Consecutive failures.
+        ejections: Consecutive ejections.
         ejected_until: Monotonic time until which it gets no work.
-        denials: Refusals of memory in a row by its owner.
+        denials: Consecutive refusals of memory by its owner.
         full_until: Monotonic time until which it gets no long work.
     """
 
     name: str
     kv_tokens: int = 0
     configured_kv_tokens: int = 0
-    said_kv_tokens: int = 0
+    reported_kv_tokens: int = 0
     rank: int = 0
     long_streams: int = 0
     streams: int = 0
@@ -91,66 +96,76 @@
     full_until: float = float("-inf")
 
 
-def add(tgt: TargetLoad, prompt: int, held: int, *, long: bool) -> None:
-    """Counts work that goes out.
+def add(
+    tgt: TargetLoad, prompt_tokens: int, held_tokens: int, *, long: bool
+) -> None:
+    """Adds a request that is sent to a target.
 
     Args:
         tgt: The target.
-        prompt: Prompt tokens to prefill there.
-        held: KV tokens that it takes there.
-        long: Whether it is long work.
+        prompt_tokens: Prompt tokens to prefill there.
+        held_tokens: KV tokens that the request takes there.
+        long: Whether the request is long.
     """
     tgt.streams += 1
-    tgt.held_tokens += held
+    tgt.held_tokens += held_tokens
     if long:
         tgt.long_streams += 1
-        tgt.long_tokens += held
-        tgt.long_prefill_tokens += prompt
+        tgt.long_tokens += held_tokens
+        tgt.long_prefill_tokens += prompt_tokens
     else:
-        tgt.prefill_tokens += prompt
+        tgt.prefill_tokens += prompt_tokens
 
 
-def started(tgt: TargetLoad, prompt: int, *, long: bool) -> None:
-    """Takes a prompt off the prefill that is waited for."""
+def end_prefill(tgt: TargetLoad, prompt_tokens: int, *, long: bool) -> None:
+    """Removes a prompt from the outstanding prefill tokens."""
     if long:
-        tgt.long_prefill_tokens -= prompt
+        tgt.long_prefill_tokens -= prompt_tokens
     else:
-        tgt.prefill_tokens -= prompt
+        tgt.prefill_tokens -= prompt_tokens
 
 
-def remove(tgt: TargetLoad, held: int, *, long: bool) -> None:
-    """Counts work that is over."""
+def remove(tgt: TargetLoad, held_tokens: int, *, long: bool) -> None:
+    """Removes a request that has ended."""
     tgt.streams -= 1
-    tgt.held_tokens -= held
+    tgt.held_tokens -= held_tokens
     if long:
         tgt.long_streams -= 1
-        tgt.long_tokens -= held
+        tgt.long_tokens -= held_tokens
+
 
+def set_memory(tgt: TargetLoad, configured: int, reported: int) -> bool:
+    """Sets an engine's KV memory; returns whether the effective value changed.
 
-def set_memory(tgt: TargetLoad, configured: int, said: int) -> bool:
-    """Notes an engine's memory by its two sources; tells if it changed.
+    The lesser value applies: the configuration may exceed what the engine has,
+    and a prompt that fits no engine would then be retried until its deadline
+    instead of being refused at once.
 
-    Operators may set more than an engine has, or it restarts with less.
-    Trusting the setting, a prompt that no engine can hold would be sent and
-    refused again and again until its time limit, in place of a refusal at
-    once.
+    Args:
+        tgt: The target.
+        configured: KV tokens by the configuration.
+        reported: KV tokens by the engine's report; 0 if unknown.
     """
-    before = tgt.kv_tokens
+    previous = tgt.kv_tokens
     tgt.configured_kv_tokens = configured
-    tgt.said_kv_tokens = said
-    tgt.kv_tokens = min(configured, said) if said else configured
-    return tgt.kv_tokens != before
+    tgt.reported_kv_tokens = reported
+    tgt.kv_tokens = min(configured, reported) if reported else configured
+    return tgt.kv_tokens != previous
 
 
-def take_report(
-    tgt: TargetLoad, load: interface.LoadReport, now: float
+def record_report(
+    tgt: TargetLoad, report: interface.LoadReport, now: float
 ) -> None:
-    """Keeps a report unless a newer one is known."""
-    at = now - load.age_s
-    if at < tgt.reported_at and tgt.report and load.boot == tgt.report.boot:
+    """Stores a report unless a newer one is known."""
+    reported_at = now - report.age_s
+    if (
+        reported_at < tgt.reported_at
+        and tgt.report
+        and report.boot == tgt.report.boot
+    ):
         return
-    tgt.report = load
-    tgt.reported_at = at
+    tgt.report = report
+    tgt.reported_at = reported_at
     tgt.held_at_report = tgt.held_tokens
 
 
@@ -159,23 +174,22 @@
     now: float,
     *,
     long: bool = False,
-    most_foreign: float = float("inf"),
+    max_other_tokens: float = float("inf"),
 ) -> float:
-    """Estimates the prompt tokens that a new prompt waits for.
+    """Estimates the prompt tokens ahead of a new prompt at a target.
 
-    Made for many entries that place on the same engines. Own work is exact;
-    of the others' the greater of the peers' word and what the report shows
-    beyond our own is taken, since each may miss what the other has. The
-    report loses half its weight every `REPORT_HALF_LIFE_S`: an old one sends
-    all entries to the engine that was idle then.
+    Own requests are exact. For those of other instances, the greater of the
+    peers' updates and of the report without own requests is used, since each
+    may miss some. The weight of a report decays with its age; otherwise all
+    instances would choose the engine that was idle when it was sent.
 
     Args:
         tgt: The target.
         now: Monotonic seconds.
-        long: Whether own long work is in the way too; short work passes it
-            at the engine.
-        most_foreign: Bound on the others' prompt tokens, where most of them
-            are long work that short work passes.
+        long: Whether own long requests count; a short prompt has priority over
+            them at the engine.
+        max_other_tokens: Bound on the prompt tokens of other instances, for
+            engines where most of them are long prompts of lower priority.
     """
     streams = tgt.peer_streams
     prefill = tgt.peer_prefill_tokens
@@ -184,46 +198,48 @@
     if tgt.report is not None:
         age = max(0.0, now - tgt.reported_at)
         weight = 0.5 ** (age / REPORT_HALF_LIFE_S)
-        seen = tgt.report.running + tgt.report.waiting - tgt.streams
-        streams = max(streams, seen * weight)
-        seen = tgt.report.prefill_tokens - own_prefill
-        prefill = max(prefill, seen * weight)
+        reported = tgt.report.running + tgt.report.waiting - tgt.streams
+        streams = max(streams, reported * weight)
+        reported = tgt.report.prefill_tokens - own_prefill
+        prefill = max(prefill, reported * weight)
         waiting = tgt.report.waiting * weight
     own = own_prefill if long else tgt.prefill_tokens
     return (
         own
-        + min(prefill, most_foreign)
+        + min(prefill, max_other_tokens)
         + STREAM_TOKENS * (tgt.streams + streams)
         + WAITING_TOKENS * waiting
     )
 
 
 def prefill_tokens(tgt: TargetLoad, now: float) -> float:
-    """Estimates the prompt tokens of all entries that wait for prefill."""
+    """Estimates the outstanding prefill tokens of all instances."""
     own = tgt.prefill_tokens + tgt.long_prefill_tokens
     if tgt.report is None:
         return own + tgt.peer_prefill_tokens
     weight = 0.5 ** (max(0.0, now - tgt.reported_at) / REPORT_HALF_LIFE_S)
-    seen = tgt.report.prefill_tokens * weight
-    return max(own + tgt.peer_prefill_tokens, seen)
+    reported = tgt.report.prefill_tokens * weight
+    return max(own + tgt.peer_prefill_tokens, reported)
 
 
 def kv_in_use(tgt: TargetLoad) -> int:
-    """Estimates the KV tokens in use: the last report and our work since."""
+    """Estimates the KV tokens in use.
+
+    The estimate is the last report plus own requests added since.
+    """
     if tgt.report is None:
         return tgt.held_tokens
-    since = max(0, tgt.held_tokens - tgt.held_at_report)
-    return max(tgt.held_tokens, tgt.report.kv_used + since)
+    added = max(0, tgt.held_tokens - tgt.held_at_report)
+    return max(tgt.held_tokens, tgt.report.kv_used + added)
 
 
 def long_kv_in_use(tgt: TargetLoad, short_tokens: int) -> int:
-    """Estimates the KV tokens that long work of all entries holds.
+    """Estimates the KV tokens that the long requests of all instances hold.
 
-    A report tells the tokens and the streams but not whose they are; each
-    stream is taken for a short one of `short_tokens`, and what is held beyond
-    is long work's.
+    A report has the total tokens and streams only. Each stream is assumed to be
+    a short one of `short_tokens`; the remaining tokens are counted as long.
     """
     if tgt.report is None:
         return tgt.long_tokens
-    beyond = tgt.report.kv_used - tgt.report.running * short_tokens
-    return max(tgt.long_tokens, beyond)
+    remaining = tgt.report.kv_used - tgt.report.running * short_tokens
+    return max(tgt.long_tokens, remaining)
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Choice of a target for short work, and of one or more for long work."""
+"""Placement: a target for a short request, engines for a long one."""
 
 import random
 
@@ -13,31 +13,35 @@
 )
 from copperloom.decisions import pool as pool_module
 
-__all__ = ["choose_long", "choose_short", "free_long_tokens", "gather"]
+__all__ = [
+    "choose_long",
+    "choose_short",
+    "free_long_tokens",
+    "engines_to_keep_free",
+]
 
-# The better of two sampled targets is nearly as good as the best of all and
-# does not herd: entries that share a stale view still spread
-# (Mitzenmacher 2001).
+# The better of two random targets is nearly as good as the best one, and avoids
+# herding among instances that share a stale view (Mitzenmacher 2001).
 SAMPLES = 2
-# If the samples are full, so many targets are looked at in turn. Bounded,
-# since there may be 1,400.
-SCAN_MOST = 32
-# Part of a prompt's prefill that its prefix is taken to save at its home.
-AFFINITY_SAVED = 0.7
-# A step of an engine that prefills long work takes as long as this many
-# prompt tokens. A short prompt there waits one such step for its first token,
-# and one for each token of its answer.
-LONG_STEP_TOKENS = 4_000
-# What a later step weighs against the first one, by the preset's objective.
-# Measured: docs/design/decisions.md, "The two objectives".
-ANSWER_WEIGHT = {"first_token": 0.0, "slowdown": 0.1}
-# What it weighs that long work holds up a stream that decodes at an engine: a
-# fraction of a second later for long work is nothing beside a short answer
-# that takes several times as long.
-HELD_UP_TOKENS = 8_000
-# Below this likelihood of long work the pool is not divided for short work:
-# fewer engines would hold fewer cached prefixes.
-LIKELY_LEAST = 0.2
+# Targets examined in turn if the sampled ones are full; bounds the cost per
+# request in large pools.
+MAX_SCANNED = 32
+# Share of a prompt's prefill that the prefix cache at its home target saves.
+CACHED_SHARE = 0.7
+# Duration, in prompt tokens, of an engine iteration that prefills a long
+# prompt. A short request on the same engine waits one such iteration for its
+# first token and one for each further token.
+LONG_ITERATION_TOKENS = 4_000
+# Weight of such an iteration while decoding, relative to the one before the
+# first token, by the preset's objective.
+DECODE_WEIGHT = {"first_token": 0.0, "slowdown": 0.1}
+# Cost, in prompt tokens, of the interference of a long prefill with one
+# decoding stream. Short answers suffer far more from it than a long request
+# does from a slightly later start.
+INTERFERENCE_TOKENS = 8_000
+# Below this probability of long work, short requests use the whole pool: a
+# smaller part of it would hold fewer cached prefixes.
+MIN_LONG_PROBABILITY = 0.2
 NO_AVOID: frozenset[str] = frozenset()
 
 
@@ -51,33 +55,31 @@
     avoid: frozenset[str] = NO_AVOID,
     use_affinity: bool = True,
 ) -> load.TargetLoad | None:
-    """Chooses a target for short work, from this entry's view alone.
+    """Chooses a target for a short request from local state.
 
-    Made for thousands of short prompts a second at hundreds of entries: no
-    message and no scan per request. The cost of a target is its predicted
-    wait, so a prefix's home is taken as long as the prefill that it saves is
-    more than the wait that it adds; this bounds what a hot prefix can pile up
-    there. An engine with long work gives a first token soon, since short work
-    passes it there, but stretches the answer: the objective tells what that
-    weighs.
+    The cost of a target is its predicted wait. The home of a prefix is
+    preferred as long as the prefill that its cache saves exceeds the additional
+    wait, which bounds the load of a hot prefix. An engine with long work gives
+    the first token soon, because short requests have priority there, but
+    decodes slowly; the objective sets the weight of that.
 
     Args:
-        pool: The targets.
+        pool: The pool.
         req: The request.
         now: Monotonic seconds.
-        rng: Generator for the samples.
+        rng: Generator for sampling.
         objective: The preset's objective.
         avoid: Targets that failed this request.
-        use_affinity: Whether homes of prefixes are preferred.
+        use_affinity: Whether the home targets of prefixes are preferred.
 
     Returns:
-        The target, or None if all that were looked at are full.
+        The target, or None if all examined targets are full.
     """
     need = req.prompt_tokens + req.max_tokens
-    later = ANSWER_WEIGHT[objective] * req.max_tokens
+    decode_weight = DECODE_WEIGHT[objective] * req.max_tokens
     penalty = (
-        LONG_STEP_TOKENS
-        * (1.0 + later)
+        LONG_ITERATION_TOKENS
+        * (1.0 + decode_weight)
         * pool_split.long_work_probability(pool.split)
     )
 
@@ -87,18 +89,20 @@
     def cost(tgt):
         return _cost(pool, tgt, req, now, penalty)
 
-    apart = pool_split.long_work_probability(pool.split) >= LIKELY_LEAST
-    part = pool.short_part if apart else pool.targets
-    ring = pool.short_ring if apart else pool.ring
-    candidates = _sample(part, rng, SAMPLES)
-    beside_long = apart and _ends_beside_long(pool, req, now)
-    if beside_long:
-        candidates = candidates + _sample(pool.long_part, rng, 1)
+    is_split = (
+        pool_split.long_work_probability(pool.split) >= MIN_LONG_PROBABILITY
+    )
+    targets = pool.short_targets if is_split else pool.targets
+    ring = pool.short_ring if is_split else pool.ring
+    candidates = _sample(targets, rng, SAMPLES)
+    may_join_long = is_split and _finishes_beside_long(pool, req, now)
+    if may_join_long:
+        candidates = candidates + _sample(pool.long_targets, rng, 1)
     found = [t for t in candidates if usable(t)]
     if not found:
-        found = _scan(part, rng, usable)
-    if not found and beside_long:
-        found = _scan(pool.long_part, rng, usable)
+        found = _scan(targets, rng, usable)
+    if not found and may_join_long:
+        found = _scan(pool.long_targets, rng, usable)
     if not found:
         return None
     best = min(found, key=cost)
@@ -116,24 +120,24 @@
     preset: configuration.Preset,
     avoid: frozenset[str] = NO_AVOID,
 ) -> list[tuple[load.TargetLoad, int]]:
-    """Chooses the engine, or the group of engines, for long work.
+    """Chooses an engine, or a group of engines, for a long request.
 
-    Made for the one prompt in fifty that takes an engine for seconds. Only
-    the long part of the pool is used, never the last engines of short work.
-    The memory counted free here is a guess from lagging reports; the engine's
-    owner has the last word.
+    Only engines that take long work are candidates. Free memory is estimated
+    from reports that may be stale; the owner of the engine makes the final
+    decision.
 
     Args:
-        pool: The targets.
+        pool: The pool.
         req: The request.
         now: Monotonic seconds.
-        rng: Generator for the samples.
+        rng: Generator for sampling.
         preset: The preset in force.
-        avoid: Targets that failed this request.
+        avoid: Targets that failed this request or are kept free for another
+            one.
 
     Returns:
-        Engines with the KV tokens to take at each, or nothing if the memory
-        is not free now.
+        Engines with the KV tokens to take at each; empty if there is not enough
+        free memory.
     """
     need = req.prompt_tokens + req.max_tokens
 
@@ -145,9 +149,9 @@
         return free_long_tokens(tgt, preset)
 
     if need > pool.engine_tokens:
-        return groups.choose(_group_part(pool, preset, need), need, free)
-    part = _sample(pool.long_part, rng, SCAN_MOST)
-    found = [t for t in part if free(t) >= need]
+        return groups.choose(_group_candidates(pool, preset, need), need, free)
+    sampled = _sample(pool.long_targets, rng, MAX_SCANNED)
+    found = [t for t in sampled if free(t) >= need]
     if not found:
         return []
     best = min(
@@ -156,62 +160,63 @@
     return [(best, need)]
 
 
-def gather(
+def engines_to_keep_free(
     pool: pool_module.Pool,
     req: messages.Request,
     *,
     preset: configuration.Preset,
     avoid: frozenset[str] = NO_AVOID,
 ) -> frozenset[str]:
-    """Names the engines whose memory is kept for long work that waits.
+    """Returns the engines to keep free for a queued long request.
 
-    The ones with the most free memory, as many as the work needs when they
-    are empty. They stay the same ones, since only they gain by being kept.
+    They are those with the most free memory, as many as the request needs when
+    they are empty. Keeping them free makes them the first choice again at the
+    next call, so the set is stable.
     """
-    need = req.prompt_tokens + req.max_tokens
-    part = pool.long_part
-    if need > pool.engine_tokens:
-        part = _group_part(pool, preset, need)
-    part = [t for t in part if t.name not in avoid]
-    part.sort(key=lambda t: -free_long_tokens(t, preset))
+    remaining = req.prompt_tokens + req.max_tokens
+    candidates = pool.long_targets
+    if remaining > pool.engine_tokens:
+        candidates = _group_candidates(pool, preset, remaining)
+    candidates = [t for t in candidates if t.name not in avoid]
+    candidates.sort(key=lambda t: -free_long_tokens(t, preset))
     names = []
-    for tgt in part[: groups.GROUP_MOST]:
-        if need <= 0:
+    for tgt in candidates[: groups.MAX_GROUP_SIZE]:
+        if remaining <= 0:
             break
         names.append(tgt.name)
-        need -= pool_module.capacity(tgt, preset)
+        remaining -= pool_module.capacity(tgt, preset)
     return frozenset(names)
 
 
 def free_long_tokens(tgt: load.TargetLoad, preset: configuration.Preset) -> int:
-    """Estimates the KV tokens that long work could take at a target.
+    """Estimates the KV tokens that a long request could take at a target.
 
-    All memory in use counts against long work's share, since a report does
-    not tell whose it is; else an entry goes on asking for memory that the
-    owner knows to be held by the long work of others.
+    All memory in use is charged to the share of long work, since reports do not
+    tell the classes apart. Otherwise an instance would keep asking for memory
+    that the long requests of other instances hold.
     """
     return pool_module.capacity(tgt, preset) - load.kv_in_use(tgt)
 
 
-def _ends_beside_long(pool, req, now):
-    """Tells whether short work can end in time on an engine with long work.
+def _finishes_beside_long(pool, req, now):
+    """Returns whether a short request can finish on an engine with long work.
 
-    Its first token would come soon, but if its answer is stretched beyond its
-    time limit, the caller is better off waiting for another engine.
+    Its first token would come soon, but if slow decoding exceeds its time
+    limit, waiting for another engine is better.
     """
-    if pool.short_part is pool.targets:
+    if pool.short_targets is pool.targets:
         return False
-    step_s = LONG_STEP_TOKENS * pool.first_token_stats.quick_s
-    return req.max_tokens * step_s < req.deadline - now
+    iteration_s = LONG_ITERATION_TOKENS * pool.first_token_stats.baseline_s
+    return req.max_tokens * iteration_s < req.deadline - now
 
 
-def _group_part(pool, preset, need):
-    # A group may need more engines than the border gives long work just now,
-    # but no more of them than it needs, and it leaves the floor alone.
-    size = len(pool.long_part)
-    room = sum(pool_module.capacity(t, preset) for t in pool.long_part)
-    while room < need and size < pool.most_long:
-        room += pool_module.capacity(pool.targets[size], preset)
+def _group_candidates(pool, preset, need):
+    # A group may need more engines than currently take long work. It gets only
+    # the missing ones, and none of those that the preset keeps for short work.
+    size = len(pool.long_targets)
+    total = sum(pool_module.capacity(t, preset) for t in pool.long_targets)
+    while total < need and size < pool.max_long_targets:
+        total += pool_module.capacity(pool.targets[size], preset)
         size += 1
     return pool.targets[:size]
 
@@ -235,8 +240,8 @@
         return []
     count = len(targets)
     start = rng.randrange(count)
-    for step in range(min(count, SCAN_MOST)):
-        tgt = targets[(start + step) % count]
+    for offset in range(min(count, MAX_SCANNED)):
+        tgt = targets[(start + offset) % count]
         if usable(tgt):
             return [tgt]
     return []
@@ -245,8 +250,9 @@
 def _cost(pool, tgt, req, now, penalty):
     own = req.prompt_tokens + concurrency.OVERHEAD_TOKENS
     if tgt.name in pool.long_names or tgt.long_streams:
-        # Also where no long work is just now: it comes while this runs.
-        wait = load.wait_tokens(tgt, now, most_foreign=penalty) + penalty
+        # Applies to idle long engines too: long work may arrive while this
+        # request runs.
+        wait = load.wait_tokens(tgt, now, max_other_tokens=penalty) + penalty
     else:
         wait = load.wait_tokens(tgt, now)
     return (wait + own) * concurrency.slowness(pool.first_token_stats, tgt, now)
@@ -255,12 +261,12 @@
 def _long_cost(pool, tgt, now):
     running = tgt.report.running if tgt.report else 0
     wait = load.wait_tokens(tgt, now, long=True)
-    wait += HELD_UP_TOKENS * max(running, tgt.streams - tgt.long_streams)
+    wait += INTERFERENCE_TOKENS * max(running, tgt.streams - tgt.long_streams)
     return wait * concurrency.slowness(pool.first_token_stats, tgt, now)
 
 
 def _home(pool, ring, req, best, usable, cost):
-    saved = AFFINITY_SAVED * req.prompt_tokens
+    saved = CACHED_SHARE * req.prompt_tokens
     limit = cost(best)
     for name in affinity.homes(ring, req.prefix):
         home = pool.by_name.get(name)
--- a/copperloom/decisions/policies.py
+++ b/copperloom/decisions/policies.py
@@ -1,8 +1,8 @@
-"""Policies by name: this project's own, and the baselines to compare with.
+"""Scheduling policies by name: copperloom's own, and baselines.
 
-A policy is a set of mechanisms that are on, and a function that chooses a
-target. The baselines send each request at once and keep no queue, limit or
-prediction, as the balancers that bear their names do.
+A policy is a set of enabled mechanisms with a function that chooses a target.
+The baselines dispatch each request at once, without queues, limits or
+predictions, like the load-balancing algorithms of the same name.
 """
 
 import dataclasses
@@ -36,18 +36,18 @@
     "best_of_two",
     "no_pools",
 )
-# What keeps long work apart in any way; without it all is one queue.
+# Mechanisms that separate long requests from short ones.
 _SEPARATION = frozenset(["classes", "pools", "priority", "reservations"])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """A policy.
+    """A scheduling policy.
 
     Attributes:
-        name: Its name.
-        mechanisms: Names of the mechanisms that are on.
-        choose: The baseline's choice; None for `placement`'s.
+        name: Name of the policy.
+        mechanisms: Names of the enabled mechanisms.
+        choose: Chooses the target of a baseline; None to use `placement`.
     """
 
     name: str
@@ -56,16 +56,20 @@
 
 
 def make(name: str, disable: frozenset[str] = frozenset()) -> Policy:
-    """Makes a policy.
+    """Builds a policy.
+
+    Args:
+        name: Name of the policy.
+        disable: Mechanisms to disable.
 
     Raises:
-        ValueError: The policy or a mechanism is not known.
+        ValueError: The policy or a mechanism is unknown.
     """
     if name not in POLICIES:
-        raise ValueError(f"unknown policy {name}")
+        raise ValueError(f"unknown scheduling policy: {name}")
     unknown = disable - MECHANISMS
     if unknown:
-        raise ValueError(f"unknown mechanisms {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown mechanisms: {', '.join(sorted(unknown))}")
     if name == "copperloom":
         return Policy(name, MECHANISMS - disable)
     if name == "no_pools":
@@ -79,19 +83,19 @@
 
 
 def _round_robin() -> Chooser:
-    turn = 0
+    count = 0
 
     def choose(targets, rng):
-        nonlocal turn
-        turn += 1
-        return targets[turn % len(targets)]
+        nonlocal count
+        count += 1
+        return targets[count % len(targets)]
 
     return choose
 
 
 def _least_in_flight() -> Chooser:
     def choose(targets, rng):
-        # Ties at random, or all entries would start with the same target.
+        # Random ties keep instances from choosing the same target.
         return min(targets, key=lambda t: (t.streams, rng.random()))
 
     return choose
--- a/copperloom/decisions/pool.py
+++ b/copperloom/decisions/pool.py
@@ -16,7 +16,7 @@
     "Residence",
     "capacity",
     "divide",
-    "learn",
+    "record_residence",
     "update_split",
     "set_targets",
     "residence",
@@ -24,20 +24,21 @@
 ]
 
 RESIDENCE_GAIN = 0.1
-# Long work that waits longer shows that its part is too small.
-LONG_WAITS_S = 1.0
+# A long request queued for longer than this shows that too few engines take
+# long work.
+MAX_LONG_WAIT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Residence:
-    """How long work of one class stays at its target.
+    """Residence times at the targets for one class of requests.
 
     Attributes:
         in_flight: Estimated tokens in flight.
-        cost: Average tokens of a request.
-        cost_seconds: Average of tokens times seconds at the target.
-        seconds: Average seconds at the target.
-        samples: Requests seen.
+        cost: Mean tokens of a request.
+        cost_seconds: Mean of tokens times seconds at the target.
+        seconds: Mean seconds at the target.
+        samples: Number of requests recorded.
     """
 
     in_flight: int = 0
@@ -48,40 +49,41 @@
 
 
 class Pool:
-    """Targets of one model or service, and what waits for them.
+    """Targets of one model or service, with the requests queued for them.
 
     Attributes:
         kind: Engines or plain services.
-        targets: All usable targets in the shared order.
-        by_name: The same by name.
-        long_part: Those that take long work.
-        short_part: Those kept free of it; the whole pool without pools.
-        long_names: Names in `long_part`, and the one next to it.
-        most_long: Most targets that may take long work.
+        targets: All usable targets in rank order.
+        by_name: The same targets by name.
+        long_targets: Targets that take long work.
+        short_targets: Targets kept free of long work; all if the pool is not
+            split.
+        long_names: Names in `long_targets`, and the next target in order.
+        max_long_targets: Most targets that may take long work.
         ring: Homes of prefixes among all targets.
-        short_ring: Homes of prefixes among `short_part`.
-        split: Where the parts meet.
-        short: Queue of short work.
-        long: Queue of long work.
-        first_token_stats: First-token times of short work.
-        long_first_token_stats: First-token times of long work.
-        short_residence: Time at the target of short work.
-        long_residence: Time at the target of long work.
-        most_kv_tokens: KV memory of the largest engine.
-        group_tokens: Most KV tokens that a group of engines can give.
-        engine_tokens: Most KV tokens that one engine gives to long work.
+        short_ring: Homes of prefixes among `short_targets`.
+        split: Split between long-prompt and short-prompt targets.
+        short: Queue of short requests.
+        long: Queue of long requests.
+        first_token_stats: First-token times of short requests.
+        long_first_token_stats: First-token times of long requests.
+        short_residence: Residence times of short requests.
+        long_residence: Residence times of long requests.
+        max_kv_tokens: KV memory of the largest engine, in tokens.
+        group_tokens: Most KV tokens that a group of engines can provide.
+        engine_tokens: Most KV tokens that one engine provides to long work.
     """
 
     def __init__(self, kind: configuration.TargetKind, *, fair: bool = True):
         self.kind = kind
         self.targets: list[load.TargetLoad] = []
         self.by_name: dict[str, load.TargetLoad] = {}
-        self.long_part: list[load.TargetLoad] = []
-        self.short_part: list[load.TargetLoad] = []
+        self.long_targets: list[load.TargetLoad] = []
+        self.short_targets: list[load.TargetLoad] = []
         self.long_names: frozenset[str] = frozenset()
-        self.most_long = 0
-        self.ring = affinity.make([])
-        self.short_ring = affinity.make([])
+        self.max_long_targets = 0
+        self.ring = affinity.build([])
+        self.short_ring = affinity.build([])
         self.split = pool_split.PoolSplit()
         self.short = fairqueue.FairQueue(fair=fair)
         self.long = fairqueue.FairQueue(fair=fair)
@@ -89,73 +91,82 @@
         self.long_first_token_stats = concurrency.FirstTokenStats()
         self.short_residence = Residence()
         self.long_residence = Residence()
-        self.most_kv_tokens = 0
+        self.max_kv_tokens = 0
         self.group_tokens = 0
         self.engine_tokens = 0
 
 
 def set_targets(pool: Pool, targets: list[load.TargetLoad]) -> None:
-    """Replaces the targets; `divide` must follow."""
+    """Replaces the targets; `divide` must be called afterwards."""
     pool.targets = sorted(targets, key=lambda t: t.rank)
     pool.by_name = {t.name: t for t in pool.targets}
-    pool.ring = affinity.make([t.name for t in pool.targets])
-    pool.most_kv_tokens = max((t.kv_tokens for t in targets), default=0)
+    pool.ring = affinity.build([t.name for t in pool.targets])
+    pool.max_kv_tokens = max((t.kv_tokens for t in targets), default=0)
 
 
 def divide(
-    pool: Pool, preset: configuration.Preset, *, split: bool, group_most: int
+    pool: Pool,
+    preset: configuration.Preset,
+    *,
+    split: bool,
+    max_group_size: int,
 ) -> None:
-    """Makes the parts anew after targets, preset or border changed.
+    """Updates the long and short targets after a change of targets or split.
 
-    The engine next to the border counts as one with long work when short work
-    is placed, since other entries may have moved the border a step already.
+    The target next to the split counts as one with long work when short
+    requests are placed, since other instances may have moved their split by a
+    step already.
 
     Args:
         pool: The pool.
         preset: The preset in force.
-        split: Whether long work is kept to a part of the targets.
-        group_most: Most engines in a group.
+        split: Whether long work is confined to some of the targets.
+        max_group_size: Most engines in a group.
     """
     count = len(pool.targets)
-    most = (
+    max_long = (
         pool_split.max_long_targets(count, preset.short_floor)
         if split
         else count
     )
-    pool.most_long = most
-    size = min(pool.split.size, most) if split else count
-    pool.long_part = pool.targets[:size]
-    guarded = pool.targets[: min(size + 1, most)]
+    pool.max_long_targets = max_long
+    size = min(pool.split.size, max_long) if split else count
+    pool.long_targets = pool.targets[:size]
+    guarded = pool.targets[: min(size + 1, max_long)]
     pool.long_names = frozenset(t.name for t in guarded)
     rest = pool.targets[len(guarded) :] if split else pool.targets
-    pool.short_part = rest or pool.targets
-    pool.short_ring = affinity.make([t.name for t in pool.short_part])
-    kv = [capacity(t, preset) for t in pool.targets[:most]]
-    pool.engine_tokens = max(kv, default=0)
-    pool.group_tokens = sum(sorted(kv, reverse=True)[:group_most])
+    pool.short_targets = rest or pool.targets
+    pool.short_ring = affinity.build([t.name for t in pool.short_targets])
+    capacities = [capacity(t, preset) for t in pool.targets[:max_long]]
+    pool.engine_tokens = max(capacities, default=0)
+    pool.group_tokens = sum(sorted(capacities, reverse=True)[:max_group_size])
 
 
 def update_split(pool: Pool, preset: configuration.Preset, now: float) -> bool:
-    """Looks at the long part's use and moves the border; True if it moved."""
+    """Adjusts the split to the utilisation; returns whether it moved."""
     size = pool.split.size
     count = len(pool.targets)
-    most = pool_split.max_long_targets(count, preset.short_floor)
-    pool_split.adjust(pool.split, count, most, _use(pool, preset, now), now)
+    max_long = pool_split.max_long_targets(count, preset.short_floor)
+    pool_split.adjust(
+        pool.split, count, max_long, _utilisation(pool, preset, now), now
+    )
     return pool.split.size != size
 
 
-def _use(pool: Pool, preset: configuration.Preset, now: float) -> float:
+def _utilisation(pool: Pool, preset: configuration.Preset, now: float) -> float:
     head = fairqueue.first(pool.long, 1)
-    if head and now - head[0].queued_at > LONG_WAITS_S:
+    if head and now - head[0].queued_at > MAX_LONG_WAIT_S:
         return 1.0
-    room = sum(capacity(t, preset) for t in pool.long_part)
-    typical = preset.short_prompt_tokens // 2
-    held = sum(load.long_kv_in_use(t, typical) for t in pool.long_part)
-    return min(1.0, held / room) if room else 0.0
+    total = sum(capacity(t, preset) for t in pool.long_targets)
+    typical_tokens = preset.short_prompt_tokens // 2
+    held = sum(
+        load.long_kv_in_use(t, typical_tokens) for t in pool.long_targets
+    )
+    return min(1.0, held / total) if total else 0.0
 
 
 def residence(pool: Pool, *, long: bool) -> Residence:
-    """Returns the time at the target of one class of work."""
+    """Returns the residence times of one class of requests."""
     return pool.long_residence if long else pool.short_residence
 
 
@@ -164,8 +175,14 @@
     return int(tgt.kv_tokens * preset.long_share)
 
 
-def learn(residence: Residence, cost: int, seconds: float) -> None:
-    """Learns from work that finished."""
+def record_residence(residence: Residence, cost: int, seconds: float) -> None:
+    """Adds a finished request to the averages.
+
+    Args:
+        residence: Residence times of the request's class.
+        cost: Estimated tokens of the request.
+        seconds: Seconds at the target.
+    """
     residence.samples += 1
     gain = max(RESIDENCE_GAIN, 1.0 / residence.samples)
     residence.cost += gain * (cost - residence.cost)
@@ -174,10 +191,11 @@
 
 
 def throughput(residence: Residence) -> float:
-    """Returns the tokens a second that leave, by Little's law; 0 if unknown.
+    """Returns the tokens completed per second, by Little's law; 0 if unknown.
 
-    Little's law needs no measuring interval: work in flight over its time in
-    flight, both weighted by tokens, so it follows a change of load at once.
+    Little's law needs no sampling interval: it divides the work in flight by
+    its residence time, both weighted by tokens, and follows a change of load at
+    once.
     """
     if residence.samples == 0 or residence.cost_seconds <= 0.0:
         return 0.0
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -1,9 +1,9 @@
-"""The decisions of one entry behind one set of functions.
+"""Scheduling decisions of one instance.
 
-The entry offers each request, lets `dispatch` place or refuse what is queued,
-and tells what became of it. It calls these functions on one thread. Nothing
-here reads a clock or touches a socket: the present time, in monotonic seconds,
-is an argument.
+`offer` queues or refuses a request, `dispatch` places or refuses queued
+requests, and the remaining functions record the outcome and external state.
+All of them are called from one thread. Nothing here reads a clock or performs
+I/O: the current time, in monotonic seconds, is an argument.
 """
 
 from copperloom import configuration, messages
@@ -41,19 +41,20 @@
     "target_failed",
 ]
 
-# An owner that refused memory is asked again after this time, doubled with
-# each refusal: long work holds its memory for tens of seconds, and every
-# entry with a queue of it asks.
-FULL_S = 0.5
-LONGEST_FULL_S = 4.0
-# Look again though nothing of ours ended: limits and reports change.
-QUEUED_WAKE_S = 0.25
+# Backoff after an owner refuses memory; it doubles with each refusal in a row.
+# Long requests hold memory for long, and every instance that has one queued
+# would otherwise keep asking.
+MEMORY_BACKOFF_S = 0.5
+MAX_MEMORY_BACKOFF_S = 4.0
+# Queues are checked at this interval even without local events, since limits
+# and load reports change.
+QUEUE_CHECK_INTERVAL_S = 0.25
 
 
 def set_configuration(
     sched: Scheduler, cfg: configuration.Configuration, now: float
 ) -> None:
-    """Adopts a version of the configuration."""
+    """Applies a version of the configuration."""
     changed = cfg.targets is not sched.cfg.targets
     sched.cfg = cfg
     if changed:
@@ -62,7 +63,7 @@
 
 
 def set_draining(sched: Scheduler, leaving: frozenset[str], now: float) -> None:
-    """Names the targets that get no new work, queued work included."""
+    """Sets the targets that get no new or queued work."""
     if leaving != sched.leaving:
         sched.leaving = leaving
         state.rebuild(sched, now)
@@ -72,40 +73,46 @@
 def set_peer_loads(
     sched: Scheduler, loads: dict[str, tuple[int, int]], now: float
 ) -> None:
-    """Tells what peers have at each target: (streams, prefill tokens)."""
+    """Records the load that peers have at each target.
+
+    Args:
+        sched: The scheduler.
+        loads: (streams, prefill tokens) by target name.
+        now: Monotonic seconds.
+    """
     for name in sched.peer_names - loads.keys():
-        _set_peers(sched, name, (0, 0))
-    for name, told in loads.items():
-        _set_peers(sched, name, told)
+        _set_peer_load(sched, name, (0, 0))
+    for name, peer_load in loads.items():
+        _set_peer_load(sched, name, peer_load)
     sched.peer_names = set(loads)
 
 
 def set_limit_shares(
     sched: Scheduler, shares: dict[str, float], now: float
 ) -> None:
-    """Sets this entry's share of organisations' limits, from 0 to 1.
+    """Sets this instance's shares of the organisations' limits, from 0 to 1.
 
-    Organisations not named have a share of 1. `limits.shares` works the
-    shares out of the demand of this entry and its peers.
+    An organisation without an entry has a share of 1. `limits.shares` computes
+    the shares from the demand at this instance and its peers.
     """
     sched.limits.shares = dict(shares)
 
 
 def demand(sched: Scheduler, now: float) -> dict[str, float]:
-    """Returns tokens a second asked for here, by limited organisation."""
+    """Returns the requested tokens per second by limited organisation."""
     return limits.demand(sched.limits, now)
 
 
 def report(
     sched: Scheduler, target: str, load_report: interface.LoadReport, now: float
 ) -> None:
-    """Takes in a target's lagging load report."""
+    """Processes a load report of a target."""
     tgt = sched.targets.get(target)
     if tgt is None:
         return
-    load.take_report(tgt, load_report, now)
-    said = load_report.kv_tokens if tgt.configured_kv_tokens else 0
-    if load.set_memory(tgt, tgt.configured_kv_tokens, said):
+    load.record_report(tgt, load_report, now)
+    reported = load_report.kv_tokens if tgt.configured_kv_tokens else 0
+    if load.set_memory(tgt, tgt.configured_kv_tokens, reported):
         state.rebuild(sched, now)
         state.refresh(sched, now)
 
@@ -115,14 +122,14 @@
 ) -> messages.Refusal | None:
     """Queues a request, or refuses it at once.
 
-    Refusals: NoTargetError, PromptTooLargeError, LimitExceededError,
-    OverloadedError (short work) and CapacityExceededError (long work).
+    The refusals are NoTargetError, PromptTooLargeError, LimitExceededError,
+    OverloadedError (short requests) and CapacityExceededError (long requests).
     """
     pool = state.pool_of(sched, req)
     if pool is None:
         return _no_target(sched, req)
     long = state.is_long(sched, req)
-    refusal = _refusal(sched, pool, req, now, long=long)
+    refusal = _immediate_refusal(sched, pool, req, now, long=long)
     if refusal is not None:
         return refusal
     cost = admission.cost_of(req)
@@ -134,16 +141,16 @@
 def dispatch(
     sched: Scheduler, now: float
 ) -> list[messages.Placement | messages.Refusal]:
-    """Returns what goes out now and what is given up now.
+    """Returns the placements and refusals that are due now.
 
-    A placement counts as in flight from here until `finished`.
+    A placement counts as in flight until `finished` or `requeue`.
     """
     out: list[messages.Placement | messages.Refusal] = []
     for pool in sched.pools.values():
         state.refresh_pool(sched, pool, now)
         if not pool.short and not pool.long:
             continue
-        queueing.give_up(sched, pool, now, out)
+        queueing.refuse_expired(sched, pool, now, out)
         queueing.dispatch_short(sched, pool, now, out)
         queueing.dispatch_long(sched, pool, now, out)
     return out
@@ -156,43 +163,43 @@
     *,
     avoid: str = "",
 ) -> messages.Refusal | None:
-    """Takes back a placement that was not run.
+    """Queues a placement again that was not run.
 
-    Long work whose memory an owner refused is queued again without a charge
-    to the retry budget: nothing was sent to a target, and the answer came
-    from an entry. All else pays from the budget and keeps its deadline.
+    A long request whose memory was refused by the owner is not charged to the
+    retry budget, since it was not sent to a target. Every other retry is
+    charged. The deadline stays the same.
 
     Args:
-        sched: The state.
-        placement: What was placed; no longer in flight.
+        sched: The scheduler.
+        placement: The placement; it is no longer in flight.
         now: Monotonic seconds.
-        avoid: A target to avoid when it is placed again.
+        avoid: Target to avoid in the next placement.
 
     Returns:
-        None if it is queued again, else the refusal (retry budget spent, time
-        too short).
+        None if the request is queued again, else the refusal (retry budget
+        spent or too little time left).
     """
     req = placement.request
-    flight = sched.inflight.get(req.id)
+    inflight = sched.inflight.get(req.id)
     inflight_requests.remove(sched, req.id)
     pool = state.pool_of(sched, req)
     if pool is None:
         return _no_target(sched, req)
-    long = flight.long if flight else state.is_long(sched, req)
-    if now >= req.deadline - admission.MARGIN_S:
-        return _overloaded(sched, req, "no time left to retry")
+    long = inflight.long if inflight else state.is_long(sched, req)
+    if now >= req.deadline - admission.DEADLINE_MARGIN_S:
+        return _overloaded(sched, req, "deadline too close for a retry")
     if placement.long and avoid in sched.targets:
-        _full(sched, sched.targets[avoid], now)
+        _back_off(sched, sched.targets[avoid], now)
     elif sched.uses("retries") and not retries.spend(sched.budget):
-        return _overloaded(sched, req, "the retry budget is spent")
+        return _overloaded(sched, req, "retry budget is exhausted")
     elif avoid:
-        _avoid(sched, pool, req, avoid)
+        _avoid_target(sched, pool, req, avoid)
     queueing.push(sched, pool, req, now, long=long, again=True)
     return None
 
 
 def forget(sched: Scheduler, req: messages.Request) -> None:
-    """Drops a queued request whose caller has gone."""
+    """Removes a queued request whose caller has disconnected."""
     pool = sched.pools.get((req.kind, req.model or req.deployment))
     if pool is not None:
         fairqueue.remove(pool.short, req.id)
@@ -203,28 +210,35 @@
 def first_token(
     sched: Scheduler, placement: messages.Placement, now: float, *, sent: float
 ) -> None:
-    """Notes that the first token came; `sent` is when the work was sent."""
-    flight = sched.inflight.get(placement.request.id)
-    if flight is not None and flight.waiting:
-        inflight_requests.record_first_token(sched, flight, now, now - sent)
+    """Records the first token of a request.
+
+    Args:
+        sched: The scheduler.
+        placement: The placement.
+        now: Monotonic seconds.
+        sent: Monotonic time at which the request was sent to the target.
+    """
+    inflight = sched.inflight.get(placement.request.id)
+    if inflight is not None and inflight.waiting:
+        inflight_requests.record_first_token(sched, inflight, now, now - sent)
 
 
 def finished(
     sched: Scheduler, placement: messages.Placement, now: float, *, ok: bool
 ) -> None:
-    """Notes that a placement is over and its memory free."""
-    flight = sched.inflight.get(placement.request.id)
-    if flight is None:
+    """Records the end of a placement and releases its memory."""
+    inflight = sched.inflight.get(placement.request.id)
+    if inflight is None:
         return
-    inflight_requests.record_residence(sched, flight, now)
+    inflight_requests.record_residence(sched, inflight, now)
     if ok:
-        inflight_requests.record_success(sched, flight, now)
+        inflight_requests.record_success(sched, inflight, now)
     inflight_requests.remove(sched, placement.request.id)
     sched.avoid.pop(placement.request.id, None)
 
 
 def target_failed(sched: Scheduler, target: str, now: float) -> None:
-    """Notes a refused connection, a broken stream or a timeout."""
+    """Records a refused connection, broken stream or timeout."""
     tgt = sched.targets.get(target)
     if tgt is not None and sched.uses("ejection"):
         pools = [p for p in sched.pools.values() if target in p.by_name]
@@ -233,18 +247,22 @@
 
 
 def next_wake(sched: Scheduler, now: float) -> float | None:
-    """Returns when `dispatch` must run again though nothing happens."""
+    """Returns when `dispatch` must run next if no event occurs before.
+
+    Returns:
+        Monotonic seconds; None if nothing is queued.
+    """
     times = []
     for pool in sched.pools.values():
         for queue in (pool.short, pool.long):
             if queue:
                 times.append(queue.expiry[0][0])
-                times.append(now + QUEUED_WAKE_S)
+                times.append(now + QUEUE_CHECK_INTERVAL_S)
     return max(now, min(times)) if times else None
 
 
 def backlog(sched: Scheduler) -> dict[str, tuple[int, int]]:
-    """Returns (streams, prefill tokens) of this entry at each target."""
+    """Returns this instance's (streams, prefill tokens) by target."""
     return {
         tgt.name: (tgt.streams, tgt.prefill_tokens + tgt.long_prefill_tokens)
         for tgt in sched.targets.values()
@@ -252,23 +270,26 @@
     }
 
 
-def _set_peers(sched: Scheduler, name: str, told: tuple[int, int]) -> None:
+def _set_peer_load(
+    sched: Scheduler, name: str, peer_load: tuple[int, int]
+) -> None:
     tgt = sched.targets.get(name)
     if tgt is not None:
-        tgt.peer_streams, tgt.peer_prefill_tokens = told
+        tgt.peer_streams, tgt.peer_prefill_tokens = peer_load
 
 
-def _full(sched: Scheduler, tgt: load.TargetLoad, now: float) -> None:
-    span = min(LONGEST_FULL_S, FULL_S * 2**tgt.denials)
+def _back_off(sched: Scheduler, tgt: load.TargetLoad, now: float) -> None:
+    backoff_s = min(MAX_MEMORY_BACKOFF_S, MEMORY_BACKOFF_S * 2**tgt.denials)
     tgt.denials += 1
-    tgt.full_until = now + span * (0.5 + sched.rng.random())
+    tgt.full_until = now + backoff_s * (0.5 + sched.rng.random())
 
 
-def _avoid(
+def _avoid_target(
     sched: Scheduler, pool: pool_module.Pool, req: messages.Request, name: str
 ) -> None:
     names = sched.avoid.get(req.id, frozenset()) | {name}
-    # Once all have failed it, the first one may be better again.
+    # Once every target has failed the request, start over instead of leaving it
+    # without a candidate.
     if len(names) >= len(pool.targets):
         names = frozenset()
     sched.avoid[req.id] = names
@@ -281,10 +302,12 @@
 
 
 def _no_target(sched: Scheduler, req: messages.Request) -> messages.Refusal:
-    return queueing.refuse(sched, req, "NoTargetError", "no target", 1.0)
+    return queueing.refuse(
+        sched, req, "NoTargetError", "no target available", 1.0
+    )
 
 
-def _refusal(
+def _immediate_refusal(
     sched: Scheduler,
     pool: pool_module.Pool,
     req: messages.Request,
@@ -294,17 +317,21 @@
 ) -> messages.Refusal | None:
     cost = admission.cost_of(req)
     if req.kind is configuration.TargetKind.ENGINE and cost > pool.group_tokens:
-        text = f"no group of engines can hold {cost} tokens"
+        text = f"prompt too large: no group of engines can hold {cost} tokens"
         return messages.Refusal(req, "PromptTooLargeError", text, 0.0)
     preset = sched.cfg.preset
     if long and not preset.admit_long:
-        after_s = admission.RETRY_MOST_S
+        after_s = admission.MAX_RETRY_AFTER_S
         return admission.capacity_refusal(req, after_s, sched.rng)
-    org = sched.cfg.organisations.get(req.organisation)
-    over = limits.seconds_over(sched.limits, org, cost, now) if org else 0.0
-    if over > 0.0:
-        text = "the organisation is over its limit of tokens"
-        return queueing.refuse(sched, req, "LimitExceededError", text, over)
+    organisation = sched.cfg.organisations.get(req.organisation)
+    excess_s = (
+        limits.seconds_over(sched.limits, organisation, cost, now)
+        if organisation
+        else 0.0
+    )
+    if excess_s > 0.0:
+        text = "organisation exceeds its token rate limit"
+        return queueing.refuse(sched, req, "LimitExceededError", text, excess_s)
     if not sched.uses("admission"):
         return None
     return admission.overload_refusal(
--- a/copperloom/decisions/state.py
+++ b/copperloom/decisions/state.py
@@ -1,4 +1,4 @@
-"""The state of all decisions of one entry."""
+"""State of the scheduler of one instance."""
 
 import dataclasses
 import random
@@ -29,16 +29,16 @@
 
 @dataclasses.dataclass(slots=True)
 class InflightRequest:
-    """Work in flight.
+    """A request in flight.
 
     Attributes:
-        placement: What was placed.
-        pool: Its pool.
-        prompts: Prompt tokens at each target.
-        cost: Estimated tokens.
-        long: Whether it is of the long class.
-        placed_at: When it was placed.
-        waiting: Whether its first token is still to come.
+        placement: Its placement.
+        pool: The pool that serves it.
+        prompts: Prompt tokens at each target of the placement.
+        cost: Estimated tokens of prompt and answer.
+        long: Whether it belongs to the class of long requests.
+        placed_at: Monotonic time of the placement.
+        waiting: Whether its first token is outstanding.
     """
 
     placement: messages.Placement
@@ -51,20 +51,20 @@
 
 
 class Scheduler:
-    """State of all decisions of one entry.
+    """State behind the scheduling decisions of one instance.
 
     Attributes:
-        policy: The policy and its mechanisms.
-        rng: Generator for samples and jitter.
+        policy: The policy with its enabled mechanisms.
+        rng: Generator for sampling and jitter.
         cfg: The configuration in force.
-        leaving: Targets that get no new work.
+        leaving: Draining targets, which get no new work.
         targets: Load by target name.
-        pools: By kind and model (or service) name.
-        inflight: Work in flight by request id.
+        pools: Pools by kind and model or service name.
+        inflight: Requests in flight by request id.
         avoid: Targets that failed a request, by request id.
-        limits: Organisations' limits.
+        limits: State of the organisations' limits.
         budget: Retry budget.
-        peer_names: Targets that peers told of last.
+        peer_names: Targets in the last update of the peers' loads.
     """
 
     def __init__(
@@ -87,18 +87,18 @@
         self.peer_names: set[str] = set()
 
     def uses(self, mechanism: str) -> bool:
-        """Tells whether a mechanism is on."""
+        """Returns whether a mechanism is enabled."""
         return mechanism in self.policy.mechanisms
 
 
 def pool_of(sched: Scheduler, req: messages.Request) -> pool_module.Pool | None:
-    """Returns the pool that serves a request; None if it has no target."""
+    """Returns the pool that serves a request; None if it is empty."""
     pool = sched.pools.get((req.kind, req.model or req.deployment))
     return pool if pool is not None and pool.targets else None
 
 
 def is_long(sched: Scheduler, req: messages.Request) -> bool:
-    """Tells whether a request is of the long class."""
+    """Returns whether a request belongs to the long class."""
     if req.kind is not configuration.TargetKind.ENGINE:
         return False
     if not sched.uses("classes"):
@@ -107,23 +107,23 @@
 
 
 def rebuild(sched: Scheduler, now: float) -> None:
-    """Makes the pools anew after targets changed; costs O(n log n).
+    """Rebuilds the pools after the targets have changed, in O(n log n).
 
-    Load of targets that are still known is kept, also of those that went
-    while work of ours is there.
+    Recorded load is kept for targets that remain, and for removed targets as
+    long as they have requests of this instance.
     """
     usable: dict[PoolKey, list[load.TargetLoad]] = {}
-    known = {}
+    loads = {}
     for target in sched.cfg.targets.values():
-        tgt = _known(sched, target)
-        known[target.name] = tgt
+        tgt = _target_load(sched, target)
+        loads[target.name] = tgt
         if _takes_work(sched, target):
             for serves in target.serves:
                 usable.setdefault((target.kind, serves), []).append(tgt)
     for name, tgt in sched.targets.items():
         if tgt.streams:
-            known.setdefault(name, tgt)
-    sched.targets = known
+            loads.setdefault(name, tgt)
+    sched.targets = loads
     for key in usable.keys() - sched.pools.keys():
         fair = sched.uses("fairness")
         sched.pools[key] = pool_module.Pool(key[0], fair=fair)
@@ -132,14 +132,14 @@
 
 
 def refresh(sched: Scheduler, now: float) -> None:
-    """Adopts targets and preset in all pools."""
+    """Applies the targets and the preset to all pools."""
     for pool in sched.pools.values():
         pool_module.update_split(pool, sched.cfg.preset, now)
         _divide(sched, pool)
 
 
 def refresh_pool(sched: Scheduler, pool: pool_module.Pool, now: float) -> None:
-    """Moves the border of a pool if that is due."""
+    """Adjusts the split of a pool if that is due."""
     if not pool_split.is_due(pool.split, now):
         return
     if pool_module.update_split(pool, sched.cfg.preset, now):
@@ -150,25 +150,27 @@
     pool_module.divide(
         pool,
         sched.cfg.preset,
-        split=_splits(sched, pool),
-        group_most=groups.GROUP_MOST,
+        split=_is_split(sched, pool),
+        max_group_size=groups.MAX_GROUP_SIZE,
     )
 
 
-def _splits(sched: Scheduler, pool: pool_module.Pool) -> bool:
-    engines = pool.kind is configuration.TargetKind.ENGINE
-    return engines and sched.uses("pools")
+def _is_split(sched: Scheduler, pool: pool_module.Pool) -> bool:
+    is_engine = pool.kind is configuration.TargetKind.ENGINE
+    return is_engine and sched.uses("pools")
 
 
-def _known(sched: Scheduler, target: configuration.Target) -> load.TargetLoad:
+def _target_load(
+    sched: Scheduler, target: configuration.Target
+) -> load.TargetLoad:
     tgt = sched.targets.get(target.name)
     if tgt is None:
         tgt = load.TargetLoad(target.name, rank=pool_split.rank(target.name))
         if not sched.uses("concurrency"):
             tgt.limit = float("inf")
-    engine = target.kind is configuration.TargetKind.ENGINE
-    configured = target.kv_tokens if engine else 0
-    load.set_memory(tgt, configured, tgt.said_kv_tokens)
+    is_engine = target.kind is configuration.TargetKind.ENGINE
+    configured = target.kv_tokens if is_engine else 0
+    load.set_memory(tgt, configured, tgt.reported_kv_tokens)
     return tgt
 
 
--- a/copperloom/decisions/tests/test_reservation.py
+++ b/copperloom/decisions/tests/test_reservation.py
@@ -138,8 +138,8 @@
         targets = [load.TargetLoad(f"t{i}", rank=i) for i in range(len(rooms))]
         parts = groups.choose(targets, need, lambda t: rooms[t.rank])
         if not parts:
-            usable = sorted(r for r in rooms if r >= groups.LEAST_PART_TOKENS)
-            self.assertLess(sum(usable[-groups.GROUP_MOST :]), need)
+            usable = sorted(r for r in rooms if r >= groups.MIN_PART_TOKENS)
+            self.assertLess(sum(usable[-groups.MAX_GROUP_SIZE :]), need)
             return
         self.assertEqual(sum(part for _, part in parts), need)
         ranks = [tgt.rank for tgt, _ in parts]
