--- a/copperloom/configuration.py
+++ b/copperloom/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration that operators keep on the platform, as typed entities.
+"""Typed entities of the configuration that operators store on the platform.
 
-A `Configuration` is immutable and carries the version of the head row that it
-belongs to. A change is a list of entities to put and keys to delete; applying
-the changes of versions 1..N in order gives the configuration of version N.
+A `Configuration` is immutable and carries the version of its head row. A
+change consists of entities to put and keys to delete; applying the changes of
+versions 1..N in order yields the configuration of version N.
 """
 
 import dataclasses
@@ -31,14 +31,14 @@
 
 
 class TargetKind(enum.StrEnum):
-    """What stands behind a target's address."""
+    """Kind of server at a target's address."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class TargetState(enum.StrEnum):
-    """What the operators want of a target."""
+    """State of a target that the operators request."""
 
     ADMITTED = "admitted"
     RETIRED = "retired"
@@ -50,10 +50,10 @@
 
     Attributes:
         name: Unique name.
-        token_sha256: Hex digest of the bearer token that its callers show.
-        weight: Share under contention, relative to the others'.
-        limit_tokens_per_s: Most prompt and answer tokens a second over all
-            entries together; 0 sets no limit.
+        token_sha256: Hex digest of the bearer token of its callers.
+        weight: Relative share of capacity under contention.
+        limit_tokens_per_s: Most prompt and answer tokens per second over all
+            instances together; 0 for no limit.
     """
 
     name: str
@@ -64,14 +64,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """Binds callers and organisations to targets.
+    """Makes targets available to organisations under one name.
 
     Attributes:
-        name: Unique name; callers give it as the model or service name.
+        name: Unique name; callers use it as the name of the model or service.
         kind: Whether its targets are engines or plain services.
         model: The model that the engines must have loaded ("" for services).
-        organisations: Names of those who may use it; empty allows all.
-        time_limit_s: Time limit of a request that sets none.
+        organisations: Names of the organisations with access; empty for all.
+        time_limit_s: Time limit, in seconds, of requests that set none.
     """
 
     name: str
@@ -88,14 +88,16 @@
     Attributes:
         name: Unique name.
         address: IP:port.
-        data_centre: Where it stands.
+        data_centre: Data centre in which it runs.
         kind: Engine or plain service.
-        serves: Model names (engine) or deployment names (service).
-        kv_tokens: An engine's KV memory in tokens.
+        serves: Names of models (engine) or deployments (service).
+        kv_tokens: KV memory of an engine, in tokens.
         state: Admitted or retired.
-        checks_fencing: Whether it refuses an order with an old fencing number.
+        checks_fencing: Whether it rejects orders with an outdated fencing
+            number.
         admitted_version: Version of the configuration that last admitted it,
-            set when the change is made; ends earlier signs of its leaving.
+            set when the change is made; overrides earlier reports that it is
+            draining.
     """
 
     name: str
@@ -111,17 +113,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preset:
-    """Limits and objective for ordinary days, peaks or maintenance.
+    """Limits and latency objective for normal, peak or maintenance operation.
 
     Attributes:
         name: Unique name.
-        objective: "first_token" weighs the time to first token of short
-            prompts, "slowdown" the slowdown of short prompts by long ones.
-        short_prompt_tokens: Prompts up to this length are short.
+        objective: "first_token" minimises the time to the first token of short
+            prompts, "slowdown" their slowdown by long prompts.
+        short_prompt_tokens: Longest prompt, in tokens, that counts as short.
         short_floor: Least share of engines kept free of long work.
-        max_queue_wait_s: Predicted wait above which work is refused.
-        long_share: Most of an engine's KV memory that long work may hold.
-        admit_long: Whether long work is admitted at all.
+        max_queue_wait_s: Predicted queueing time, in seconds, above which
+            requests are refused.
+        long_share: Largest share of an engine's KV memory for long work.
+        admit_long: Whether long requests are admitted.
     """
 
     name: str
@@ -135,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PresetInForce:
-    """Names the one preset that is in force; the key is always the same."""
+    """Names the preset in force; its key is always the same."""
 
     preset: str
     name: str = "current"
@@ -156,17 +159,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What one version changed.
+    """The change made by one version of the configuration.
 
     Attributes:
-        version: The version that it made.
-        nonce: Random text of the writer, to find a change again whose
-            confirmation was lost.
-        operator: Who made it.
-        puts: Entities added or replaced.
-        deletes: Keys (KIND/NAME) removed.
-        note: The operator's reason.
-        wall_time_s: Seconds since the epoch at the writer, for people only.
+        version: The resulting version.
+        nonce: Random text that identifies the change if its confirmation is
+            lost.
+        operator: Name of the operator.
+        puts: Keys and values of entities to add or replace.
+        deletes: Keys (KIND/NAME) to remove.
+        note: Reason given by the operator.
+        wall_time_s: Wall-clock time at the writer, in seconds since the epoch;
+            for display only.
     """
 
     version: int
@@ -180,16 +184,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """One version of everything the operators have set.
+    """One version of the complete configuration.
 
     Attributes:
-        version: Version of the head row; 0 is the empty configuration.
-        organisations: By name.
-        organisation_by_token: By digest of the bearer token.
-        deployments: By name.
-        targets: By name.
-        presets: By name.
-        preset: The one in force.
+        version: Version of the head row; 0 for the empty configuration.
+        organisations: Organisations by name.
+        organisation_by_token: Organisations by digest of the bearer token.
+        deployments: Deployments by name.
+        targets: Targets by name.
+        presets: Presets by name.
+        preset: The preset in force.
     """
 
     version: int = 0
@@ -206,20 +210,21 @@
 
 
 def entity_key(entity: Entity) -> str:
-    """Returns KIND/NAME."""
+    """Returns the key of an entity, KIND/NAME."""
     return f"{_KIND_OF[type(entity)]}/{entity.name}"
 
 
 def encode_entity(entity: Entity) -> tuple[str, dict]:
-    """Returns the key and the plain values of an entity."""
+    """Returns the key and the built-in values of an entity."""
     return entity_key(entity), msgspec.to_builtins(entity)
 
 
 def decode_entity(key: str, value: dict) -> Entity:
-    """Makes an entity of its key and plain values.
+    """Builds an entity from its key and built-in values.
 
     Raises:
-        copperloom.exception.MalformedRequestError: Unknown kind or bad value.
+        copperloom.exception.MalformedRequestError: The kind is unknown or a
+            value is invalid.
     """
     cls = _KINDS.get(key.partition("/")[0])
     if cls is None:
@@ -231,13 +236,12 @@
 
 
 def apply(cfg: Configuration, change: Change) -> Configuration:
-    """Returns the configuration that a change makes of the one before it.
+    """Returns the configuration that results from a change.
 
-    Only the maps that the change touches are copied, so that the cost grows
-    with the change, except for one shallow copy of each map touched.
+    Only the maps that the change affects are copied, each once and shallowly.
 
     Raises:
-        ValueError: The change is not the one that follows.
+        ValueError: The change does not follow the version of the configuration.
     """
     if change.version != cfg.version + 1:
         raise ValueError(f"change {change.version} on version {cfg.version}")
@@ -250,7 +254,7 @@
 
 
 class _Edit:
-    """A configuration being changed; copies each map before its first edit."""
+    """A configuration under change; copies each map before its first edit."""
 
     _MAPS = {
         Organisation: "organisations",
@@ -265,7 +269,7 @@
         self.preset = cfg.preset
 
     def map(self, name: str) -> dict:
-        """Returns the copy of a map that may be changed."""
+        """Returns the modifiable copy of a map."""
         if name not in self.changed:
             self.changed[name] = dict(getattr(self.cfg, name))
         return self.changed[name]
@@ -284,7 +288,7 @@
             self.preset = entity
 
     def delete(self, key: str) -> None:
-        """Removes an entity if it is there."""
+        """Removes an entity if it exists."""
         kind, _, name = key.partition("/")
         cls = _KINDS.get(kind)
         if cls not in self._MAPS:
@@ -294,7 +298,7 @@
             self.map("organisation_by_token").pop(old.token_sha256, None)
 
     def done(self, version: int) -> Configuration:
-        """Returns the finished configuration."""
+        """Returns the resulting configuration."""
         return dataclasses.replace(
             self.cfg, version=version, preset=self.preset, **self.changed
         )
--- a/copperloom/decisions/admission.py
+++ b/copperloom/decisions/admission.py
@@ -7,9 +7,9 @@
 from copperloom.decisions import pool as pool_module
 
 __all__ = [
+    "cannot_finish",
     "capacity_refusal",
     "cost_of",
-    "cannot_finish",
     "expires_at",
     "overload_refusal",
     "refuse",
@@ -126,7 +126,7 @@
     req: messages.Request, after_s: float, rng: random.Random
 ) -> messages.Refusal:
     """Refuses a long request that gets no memory in time."""
-    text = "no engine memory free for a long request in time"
+    text = "no capacity for long requests within the time limit"
     return refuse(req, "CapacityExceededError", text, after_s, rng)
 
 
--- a/copperloom/decisions/affinity.py
+++ b/copperloom/decisions/affinity.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-__all__ = ["Ring", "homes", "build"]
+__all__ = ["Ring", "build", "homes"]
 
 POINTS_PER_TARGET = 4
 HOMES = 2
--- a/copperloom/decisions/concurrency.py
+++ b/copperloom/decisions/concurrency.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "FirstTokenStats",
-    "record_residence",
-    "update_baseline",
     "record_first_token",
+    "record_residence",
     "slowness",
+    "update_stats",
 ]
 
 # Fixed cost of a first token, in prompt tokens.
@@ -83,7 +83,7 @@
         now: Monotonic seconds.
         adapt: Whether the target's limit is adjusted.
     """
-    s_per_token = update_baseline(stats, prompt_tokens, first_token_s)
+    s_per_token = update_stats(stats, prompt_tokens, first_token_s)
     ratio = s_per_token / stats.baseline_s
     if tgt.samples == 0:
         tgt.ratio = ratio
@@ -122,10 +122,10 @@
     return max(0.5, 1.0 + excess * decay)
 
 
-def update_baseline(
+def update_stats(
     stats: FirstTokenStats, prompt_tokens: int, first_token_s: float
 ) -> float:
-    """Adds a first-token time; returns its seconds per token."""
+    """Updates the statistics; returns the seconds per token."""
     s_per_token = max(first_token_s, 1e-6) / (prompt_tokens + OVERHEAD_TOKENS)
     stats.samples += 1
     if stats.samples == 1:
--- a/copperloom/decisions/inflight_requests.py
+++ b/copperloom/decisions/inflight_requests.py
@@ -12,11 +12,11 @@
 from copperloom.decisions import pool as pool_module
 
 __all__ = [
-    "record_residence",
-    "record_first_token",
-    "remove",
     "add",
+    "record_first_token",
+    "record_residence",
     "record_success",
+    "remove",
 ]
 
 # Request priorities sent to the engine.
@@ -72,7 +72,7 @@
     if not inflight.long:
         _record_short_first_token(sched, inflight, now, seconds)
         return
-    concurrency.update_baseline(
+    concurrency.update_stats(
         inflight.pool.long_first_token_stats, inflight.prompts[0], seconds
     )
     for name in inflight.placement.targets:
@@ -98,7 +98,7 @@
 def record_residence(
     sched: state.Scheduler, inflight: state.InflightRequest, now: float
 ) -> None:
-    """Records a residence time, whatever the outcome."""
+    """Applies a short request's residence time to its target's limit."""
     req = inflight.placement.request
     tgt = sched.targets.get(inflight.placement.targets[0])
     if tgt is None or inflight.long or not sched.uses("concurrency"):
--- a/copperloom/decisions/load.py
+++ b/copperloom/decisions/load.py
@@ -12,17 +12,17 @@
 __all__ = [
     "TargetLoad",
     "add",
+    "end_prefill",
     "kv_in_use",
     "long_kv_in_use",
     "prefill_tokens",
-    "remove",
-    "end_prefill",
     "record_report",
+    "remove",
     "wait_tokens",
 ]
 
-# The weight of a report halves in this time, because an ordinary prompt is
-# prefilled before the next report arrives.
+# The weight of a report halves in this time: an ordinary prompt is prefilled in
+# less time than it takes for a report to arrive.
 REPORT_HALF_LIFE_S = 0.5
 # Prompt tokens that a decoding stream adds to the wait of a new prompt.
 STREAM_TOKENS = 50
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -16,8 +16,8 @@
 __all__ = [
     "choose_long",
     "choose_short",
-    "free_long_tokens",
     "engines_to_keep_free",
+    "free_long_tokens",
 ]
 
 # The better of two random targets is nearly as good as the best one, and avoids
--- a/copperloom/decisions/pool.py
+++ b/copperloom/decisions/pool.py
@@ -17,10 +17,10 @@
     "capacity",
     "divide",
     "record_residence",
-    "update_split",
-    "set_targets",
     "residence",
+    "set_targets",
     "throughput",
+    "update_split",
 ]
 
 RESIDENCE_GAIN = 0.1
@@ -132,9 +132,9 @@
     pool.max_long_targets = max_long
     size = min(pool.split.size, max_long) if split else count
     pool.long_targets = pool.targets[:size]
-    guarded = pool.targets[: min(size + 1, max_long)]
-    pool.long_names = frozenset(t.name for t in guarded)
-    rest = pool.targets[len(guarded) :] if split else pool.targets
+    long_or_next = pool.targets[: min(size + 1, max_long)]
+    pool.long_names = frozenset(t.name for t in long_or_next)
+    rest = pool.targets[len(long_or_next) :] if split else pool.targets
     pool.short_targets = rest or pool.targets
     pool.short_ring = affinity.build([t.name for t in pool.short_targets])
     capacities = [capacity(t, preset) for t in pool.targets[:max_long]]
--- a/copperloom/decisions/pool_split.py
+++ b/copperloom/decisions/pool_split.py
@@ -12,10 +12,10 @@
 
 __all__ = [
     "PoolSplit",
+    "adjust",
     "is_due",
     "long_work_probability",
     "max_long_targets",
-    "adjust",
     "rank",
 ]
 
--- a/copperloom/decisions/queueing.py
+++ b/copperloom/decisions/queueing.py
@@ -15,13 +15,13 @@
 __all__ = [
     "dispatch_long",
     "dispatch_short",
-    "refuse_expired",
     "push",
     "refuse",
+    "refuse_expired",
 ]
 
-# Queued long requests that are skipped in one pass over the queue because no
-# memory is free for them.
+# Queued long requests that a dispatch may skip because no memory is free for
+# them.
 MAX_SKIPPED = 16
 # Smaller long requests may overtake a larger one on any engine for this time;
 # without a bound they would starve it.
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -145,15 +145,15 @@
 
     A placement counts as in flight until `finished` or `requeue`.
     """
-    out: list[messages.Placement | messages.Refusal] = []
+    decisions: list[messages.Placement | messages.Refusal] = []
     for pool in sched.pools.values():
         state.refresh_pool(sched, pool, now)
         if not pool.short and not pool.long:
             continue
-        queueing.refuse_expired(sched, pool, now, out)
-        queueing.dispatch_short(sched, pool, now, out)
-        queueing.dispatch_long(sched, pool, now, out)
-    return out
+        queueing.refuse_expired(sched, pool, now, decisions)
+        queueing.dispatch_short(sched, pool, now, decisions)
+        queueing.dispatch_long(sched, pool, now, decisions)
+    return decisions
 
 
 def requeue(
@@ -317,7 +317,7 @@
 ) -> messages.Refusal | None:
     cost = admission.cost_of(req)
     if req.kind is configuration.TargetKind.ENGINE and cost > pool.group_tokens:
-        text = f"prompt too large: no group of engines can hold {cost} tokens"
+        text = f"no group of engines has KV memory for {cost} tokens"
         return messages.Refusal(req, "PromptTooLargeError", text, 0.0)
     preset = sched.cfg.preset
     if long and not preset.admit_long:
--- a/copperloom/decisions/tests/test_load.py
+++ b/copperloom/decisions/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Callers' outcomes under load, against baselines in the same run."""
+"""Outcomes of requests under load, compared with baseline policies."""
 
 import unittest
 
@@ -18,40 +18,39 @@
         self.addCleanup(setattr, ablation, "SECONDS", ablation.SECONDS)
         ablation.SECONDS = 60.0
 
-    def test_short_work_hardly_feels_long_work(self):
-        """Long and short work mixed, at 70 % load over three entries.
+    def test_long_requests_hardly_delay_short_ones(self):
+        """Mixed load of long and short prompts from several instances.
 
-        A caller with a short question waits behind prompts of up to a million
-        tokens where the two share engines. Nothing may be lost either way.
+        Guards against short requests that queue behind long prefills on shared
+        engines, and against lost or unanswered requests.
         """
         scenario = ablation.SCENARIOS["mix"]
-        _, ours = outcomes_of(scenario)
-        self.assertEqual(ours.lost, 0)
-        self.assertLess(ours.first_p99, 1.5)
-        self.assertEqual(ours.long_answered, 1.0)
+        _, result = outcomes_of(scenario)
+        self.assertEqual(result.lost, 0)
+        self.assertLess(result.first_p99, 1.5)
+        self.assertEqual(result.long_answered, 1.0)
         for policy in ("round_robin", "least_in_flight", "best_of_two"):
-            _, base = outcomes_of(scenario, policy=policy)
-            self.assertGreater(base.first_p99, 3 * ours.first_p99, policy)
-            self.assertLess(base.answered, ours.answered)
+            _, baseline = outcomes_of(scenario, policy=policy)
+            self.assertGreater(baseline.first_p99, 3 * result.first_p99, policy)
+            self.assertLess(baseline.answered, result.answered)
 
-    def test_pools_keep_answers_whole_in_time(self):
-        """Priority alone gives a first token soon, and then a slow answer.
+    def test_pools_keep_answers_within_time_limit(self):
+        """The same load with and without separate engines for long prompts.
 
-        Without pools each later token of a short answer waits for a piece of
-        a long prefill, so that answers pass their time limit halfway.
+        Guards against short answers that exceed their time limit because each
+        iteration of their engine includes a share of a long prefill.
         """
         ablation.SECONDS = 120.0
         scenario = ablation.SCENARIOS["mix"]
-        _, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, disable=frozenset(["pools"]))
-        self.assertLessEqual(ours.late, 2)
-        self.assertGreater(base.late, ours.late + 5)
+        _, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, disable=frozenset(["pools"]))
+        self.assertLessEqual(result.late, 2)
+        self.assertGreater(baseline.late, result.late + 5)
 
-    def test_nine_entries_do_as_well_as_one(self):
-        """Each of nine entries sees a ninth of the requests.
+    def test_nine_instances_perform_like_one(self):
+        """The same load through nine instances and through one.
 
-        If they herd, short first tokens get worse than with one entry that
-        sees all; if they stand at borders far apart, answers are late.
+        Guards against herding, and against instances whose pool splits diverge.
         """
         ablation.SECONDS = 120.0
         _, one = outcomes_of(ablation.SCENARIOS["alone"])
@@ -60,32 +59,31 @@
         self.assertGreater(nine.goodput, 0.9 * one.goodput)
         self.assertLess(nine.first_p99, 1.5 * one.first_p99)
 
-    def test_reservations_keep_nine_entries_from_overbooking(self):
-        """Nine entries send long work on lagging reports, at 110 % load.
+    def test_reservations_prevent_overbooking_by_nine_instances(self):
+        """Nine instances place long requests from stale reports above capacity.
 
-        Without an owner who keeps count they fill the same engines, and
-        groups hold parts of their memory while they wait for each other's,
-        until their time limits pass.
+        Guards against overbooked engines, and against groups that hold partial
+        memory while they wait for each other until their time limits.
         """
         ablation.SECONDS = 120.0
         scenario = ablation.SCENARIOS["nine110"]
-        _, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, disable=frozenset(["reservations"]))
-        self.assertGreater(ours.goodput, 1.1 * base.goodput)
-        self.assertGreater(ours.long_answered, base.long_answered)
+        _, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, disable=frozenset(["reservations"]))
+        self.assertGreater(result.goodput, 1.1 * baseline.goodput)
+        self.assertGreater(result.long_answered, baseline.long_answered)
 
-    def test_full_saturation_refuses_and_keeps_goodput(self):
-        """Twice the short work that the engines can do in time.
+    def test_overload_is_refused_at_once_and_keeps_goodput(self):
+        """More short requests than the engines can answer in time.
 
-        A caller is either answered in time or told when to come back. Where
-        all is sent on, every batch is too large and most answers are late.
+        Guards against requests that are neither answered in time nor refused at
+        once.
         """
         scenario = ablation.SCENARIOS["saturated"]
-        outcomes, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, policy="round_robin")
-        self.assertEqual(ours.lost, 0)
-        self.assertLess(ours.late, 0.05 * ours.offered)
-        self.assertGreater(base.late, 0.2 * base.offered)
+        outcomes, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, policy="round_robin")
+        self.assertEqual(result.lost, 0)
+        self.assertLess(result.late, 0.05 * result.offered)
+        self.assertGreater(baseline.late, 0.2 * baseline.offered)
         refused = [o for o in outcomes if o.error == "OverloadedError"]
         self.assertTrue(refused)
         for outcome in refused:
@@ -94,150 +92,160 @@
         at_once = [o for o in refused if o.decided_s < 0.1]
         self.assertGreater(len(at_once), 0.95 * len(refused))
 
-    def test_without_long_work_all_engines_take_short_work(self):
-        """Only short work, more than the short part of the pool can do.
+    def test_all_engines_take_short_requests_without_long_ones(self):
+        """Only short requests, more than the short targets can serve.
 
-        The long part was kept free for long work that did not come, and
-        callers were refused while half of the engines stood idle.
+        Guards against refusals while engines reserved for long prompts are
+        idle.
         """
         scenario = ablation.SCENARIOS["short130"]
-        _, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, policy="least_in_flight")
-        self.assertEqual((ours.refused, ours.late), (0, 0))
-        self.assertLess(ours.first_p99, 1.3 * base.first_p99)
+        _, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, policy="least_in_flight")
+        self.assertEqual((result.refused, result.late), (0, 0))
+        self.assertLess(result.first_p99, 1.3 * baseline.first_p99)
 
-    def test_a_large_organisation_does_not_crowd_out_small_ones(self):
-        """One organisation sends half of twice the load that fits.
+    def test_large_organisation_does_not_starve_small_ones(self):
+        """One organisation sends half of a load far above capacity.
 
-        First come first served refuses the small ones in proportion to the
-        large one's load; in a fair queue their share is enough for them.
+        Guards against refusals of small organisations because of another one's
+        load.
         """
         scenario = ablation.SCENARIOS["skew"]
         outcomes, _ = outcomes_of(scenario)
-        base, _ = outcomes_of(scenario, disable=frozenset(["fairness"]))
-        self.assertGreater(small_answered(outcomes), 0.9)
-        self.assertLess(small_answered(base), small_answered(outcomes) - 0.05)
+        baseline, _ = outcomes_of(scenario, disable=frozenset(["fairness"]))
+        self.assertGreater(small_answered_share(outcomes), 0.9)
+        self.assertLess(
+            small_answered_share(baseline),
+            small_answered_share(outcomes) - 0.05,
+        )
 
-    def test_prefixes_find_their_cache(self):
-        """Each organisation's prompts start in one of four ways.
+    def test_affinity_increases_prefix_cache_hits(self):
+        """The prompts of each organisation share a few prefixes.
 
-        Sent at random they are prefilled anew nearly everywhere, since an
-        engine's cache holds few prefixes.
+        Guards against placements that scatter a prefix over engines, whose
+        caches hold only a few.
         """
-        made, outcomes = ablation.play(ablation.SCENARIOS["mix"], SEED)
-        off = frozenset(["affinity"])
-        base, plain = ablation.play(
-            ablation.SCENARIOS["mix"], SEED, disable=off
+        cluster, outcomes = ablation.play(ablation.SCENARIOS["mix"], SEED)
+        disabled = frozenset(["affinity"])
+        baseline, baseline_outcomes = ablation.play(
+            ablation.SCENARIOS["mix"], SEED, disable=disabled
         )
-        self.assertGreater(hits(made), 1.3 * hits(base))
+        self.assertGreater(cache_hits(cluster), 1.3 * cache_hits(baseline))
         first = callers.summarise(outcomes).first_p50
-        self.assertLess(first, 0.9 * callers.summarise(plain).first_p50)
+        self.assertLess(
+            first, 0.9 * callers.summarise(baseline_outcomes).first_p50
+        )
 
-    def test_a_hot_prefix_does_not_pile_up(self):
-        """Six in ten prompts start alike and so have the same home.
+    def test_hot_prefix_does_not_overload_its_home(self):
+        """Most prompts share one prefix and therefore one home target.
 
-        If all went to it, they would queue there while others are idle.
+        Guards against queueing at the home target while other engines are idle.
         """
         scenario = ablation.SCENARIOS["hot"]
-        _, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, policy="best_of_two")
-        self.assertLess(ours.first_p99, base.first_p99)
+        _, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, policy="best_of_two")
+        self.assertLess(result.first_p99, baseline.first_p99)
 
-    def test_one_slow_target(self):
-        """One engine of fifteen has become eight times slower.
+    def test_slow_target_causes_few_late_answers(self):
+        """One engine is several times slower than the others.
 
-        A caller sent there gets its answer late or never; round robin goes on
-        sending it one in fifteen.
+        Guards against requests sent there that miss their time limit.
         """
         scenario = ablation.SCENARIOS["slow"]
-        _, ours = outcomes_of(scenario)
-        _, base = outcomes_of(scenario, policy="round_robin")
-        self.assertLess(ours.late, 0.01 * ours.offered)
-        self.assertGreater(base.late, 4 * max(1, ours.late))
+        _, result = outcomes_of(scenario)
+        _, baseline = outcomes_of(scenario, policy="round_robin")
+        self.assertLess(result.late, 0.01 * result.offered)
+        self.assertGreater(baseline.late, 4 * max(1, result.late))
 
-    def test_dead_targets(self):
-        """Two engines refuse connections; their reports just stop.
+    def test_unreachable_targets_are_avoided(self):
+        """Two engines refuse connections and send no reports.
 
-        With nothing in flight they look like the best choice. All callers are
-        answered, since refused connections are tried elsewhere.
+        Guards against preferring them because they have nothing in flight, and
+        against errors for requests that other engines can answer.
         """
-        made, outcomes = ablation.play(ablation.SCENARIOS["down"], SEED)
-        off = frozenset(["ejection"])
-        base, _ = ablation.play(ablation.SCENARIOS["down"], SEED, disable=off)
+        cluster, outcomes = ablation.play(ablation.SCENARIOS["down"], SEED)
+        disabled = frozenset(["ejection"])
+        baseline, _ = ablation.play(
+            ablation.SCENARIOS["down"], SEED, disable=disabled
+        )
         self.assertFalse([o for o in outcomes if o.error])
-        self.assertLess(made.unreachable, 0.5 * base.unreachable)
+        self.assertLess(cluster.unreachable, 0.5 * baseline.unreachable)
 
-    def test_all_targets_refuse_connections(self):
-        """A rack is gone, and with it all targets of a deployment.
+    def test_retry_budget_bounds_retries_without_reachable_targets(self):
+        """All targets of a deployment refuse connections.
 
-        Without a budget each caller's request is tried until its time limit,
-        and the caller hears nothing until then.
+        Guards against retries until the time limit, with no reply until then.
         """
-        waited = {}
-        for off in ((), ("retries",)):
-            made = world.World(count=4, seed=SEED, disable=frozenset(off))
-            for engine in made.engines.values():
+        results = {}
+        for disabled in ((), ("retries",)):
+            cluster = world.World(
+                count=4, seed=SEED, disable=frozenset(disabled)
+            )
+            for engine in cluster.engines.values():
                 engine.down = True
             reqs = callers.requests(
                 SEED, 10.0, 5.0, long_share=0.0, limit_s=2.0
             )
-            outcomes = made.run(reqs, 20.0)
+            outcomes = cluster.run(reqs, 20.0)
             self.assertEqual({o.error for o in outcomes}, {"OverloadedError"})
             times = [o.decided_s for o in outcomes]
-            waited[off] = callers.quantile(times, 0.5), made.unreachable
-        self.assertLess(waited[()][0], 0.1)
-        self.assertGreater(waited["retries",][0], 1.0)
-        self.assertLess(waited[()][1], 0.5 * waited["retries",][1])
+            results[disabled] = (
+                callers.quantile(times, 0.5),
+                cluster.unreachable,
+            )
+        self.assertLess(results[()][0], 0.1)
+        self.assertGreater(results["retries",][0], 1.0)
+        self.assertLess(results[()][1], 0.5 * results["retries",][1])
 
-    def test_missing_and_stale_reports(self):
-        """No engine reports, or all reports are five seconds old."""
+    def test_missing_and_stale_reports_lose_no_request(self):
+        """Guards against lost or late answers without recent load reports."""
         for lag_s, reports in ((0.5, False), (5.0, True)):
             scenario = ablation.SCENARIOS["mix"]
-            outcomes, ours = outcomes_of(
+            outcomes, result = outcomes_of(
                 scenario, report_lag_s=lag_s, reports=reports
             )
-            self.assertEqual(ours.lost, 0)
-            self.assertLess(ours.late, 0.03 * ours.offered)
+            self.assertEqual(result.lost, 0)
+            self.assertLess(result.late, 0.03 * result.offered)
 
-    def test_burst(self):
-        """Two hundred requests within a second, then silence.
+    def test_burst_is_decided_and_leaves_no_load(self):
+        """A burst of requests followed by silence.
 
-        All are decided: answered, or refused with a time to come back; and
-        the counts return to zero though no further event pushes them.
+        Guards against requests that are never decided, and against load
+        counters that do not return to zero.
         """
-        made = world.World(count=4, preset=configuration.Preset("p"))
+        cluster = world.World(count=4, preset=configuration.Preset("p"))
         reqs = callers.requests(SEED, 200.0, 1.0, long_share=0.05)
-        outcomes = made.run(reqs, 300.0)
+        outcomes = cluster.run(reqs, 300.0)
         self.assertEqual({o.outcomes for o in outcomes}, {1})
         answered = [o for o in outcomes if not o.error]
         self.assertGreater(len(answered), 0.5 * len(outcomes))
-        self.assertEqual(sum(e.used for e in made.engines.values()), 0)
-        for tgt in made.scheds[0].targets.values():
+        self.assertEqual(sum(e.used for e in cluster.engines.values()), 0)
+        for tgt in cluster.scheds[0].targets.values():
             self.assertEqual((tgt.streams, tgt.held_tokens), (0, 0))
 
-    def test_the_objective_decides_what_long_work_costs(self):
-        """At 110 % load some short work must go to engines with long work.
+    def test_objective_trades_first_token_against_slowdown(self):
+        """The same load above capacity with each objective.
 
-        "first_token" takes the soonest first token, "slowdown" keeps long
-        answers away from there, at the price of a later first token.
+        Guards against an objective without effect: "first_token" must give the
+        earlier first token, "slowdown" the smaller slowdown.
         """
         ablation.SECONDS = 120.0
-        slow = {}
-        first = {}
+        slowdowns = {}
+        first_tokens = {}
         for name in ("mix110", "slowdown110"):
             scenario = ablation.SCENARIOS[name]
             outcomes, summary = outcomes_of(scenario)
-            alone, _ = outcomes_of(scenario, long=False)
-            slow[name] = ablation.slowdown(outcomes, alone)
-            first[name] = summary.first_p99
-        self.assertLess(slow["slowdown110"], 0.9 * slow["mix110"])
-        self.assertLess(first["mix110"], first["slowdown110"])
+            short_only, _ = outcomes_of(scenario, long=False)
+            slowdowns[name] = ablation.slowdown(outcomes, short_only)
+            first_tokens[name] = summary.first_p99
+        self.assertLess(slowdowns["slowdown110"], 0.9 * slowdowns["mix110"])
+        self.assertLess(first_tokens["mix110"], first_tokens["slowdown110"])
 
 
-def small_answered(outcomes):
+def small_answered_share(outcomes):
     small = [o for o in outcomes if o.request.organisation != "o0"]
     return sum(not o.error for o in small) / len(small)
 
 
-def hits(made):
-    return sum(engine.hits for engine in made.engines.values())
+def cache_hits(cluster):
+    return sum(engine.hits for engine in cluster.engines.values())
--- a/copperloom/settings.py
+++ b/copperloom/settings.py
@@ -1,10 +1,9 @@
-"""INI settings, checked at start into frozen data classes.
+"""INI settings, validated at start into frozen data classes.
 
-A program's settings are one frozen data class whose fields are sections; a
-section is a frozen data class whose fields are made by `setting`, which
-states default, unit, range and meaning. Nothing outside the declared sections
-and keys is accepted, so that a misspelt key never falls back to a default in
-silence.
+The settings of a program are a frozen data class whose fields are sections. A
+section is a frozen data class whose fields are created by `setting`, with
+default, unit, range and description. Unknown sections and keys are errors, so
+that a misspelt key never silently falls back to a default.
 """
 
 import configparser
@@ -27,7 +26,7 @@
 ]
 
 EXIT_BAD_SETTINGS = 2
-# The unit of addresses; names are not resolved, so they are not accepted.
+# Unit of addresses. Host names are rejected, since they are not resolved.
 ADDRESS = "IP:port"
 
 _MOST_PORT = 65_535
@@ -50,13 +49,13 @@
     """Declares one key of a section.
 
     Args:
-        default: Its value when the file does not set it; it gives the type.
-        doc: One line that says what it means.
-        unit: The unit of a number.
-        low: The least number allowed.
-        high: The greatest number allowed.
-        choices: The words allowed, if only some are.
-        required: Whether the file must set it.
+        default: Value if the file does not set the key; also gives the type.
+        doc: Description of one line.
+        unit: Unit of a number.
+        low: Least number allowed.
+        high: Greatest number allowed.
+        choices: Allowed values, if restricted.
+        required: Whether the file must set the key.
     """
     return dataclasses.field(
         default=default,
@@ -72,18 +71,18 @@
 
 
 def load(path: str | None, program: type[_Program]) -> _Program:
-    """Reads a settings file into a program's settings.
+    """Reads the settings of a program from a file.
 
     Args:
-        path: The INI file; None gives the defaults.
+        path: The INI file; None for the defaults.
         program: A frozen data class of section data classes.
 
     Returns:
-        The checked settings.
+        The validated settings.
 
     Raises:
-        copperloom.exception.SettingsError: File, section, key and what is
-            wrong.
+        copperloom.exception.SettingsError: The file is invalid; the message
+            names file, section, key and cause.
     """
     parser = _read(path)
     sections = {f.name: f.type for f in dataclasses.fields(program)}
@@ -99,7 +98,7 @@
 
 
 def load_or_exit(path: str | None, program: type[_Program]) -> _Program:
-    """Reads settings, or tells what is wrong and exits with status 2."""
+    """Reads settings; prints the error and exits with 2 on failure."""
     try:
         return load(path, program)
     except exception.SettingsError as error:
@@ -108,7 +107,7 @@
 
 
 def explain(program: type) -> str:
-    """Lists every setting of a program with default, unit, range, meaning."""
+    """Returns a commented settings file with a program's defaults."""
     lines = []
     for section in dataclasses.fields(program):
         lines.append(f"[{section.name}]")
@@ -187,7 +186,7 @@
 
 
 def _is_address(text: str | tuple[str, ...]) -> bool:
-    """Tells whether a text is empty or IP:port; lists are not looked into."""
+    """Returns whether a text is empty or IP:port; accepts any list."""
     if not text or isinstance(text, tuple):
         return True
     host, _, port = text.rpartition(":")
