--- a/copperloom/decisions/fairqueue.py
+++ b/copperloom/decisions/fairqueue.py
@@ -111,8 +111,8 @@
         cost: Its estimated tokens.
         now: Monotonic seconds.
         expires_at: Monotonic time at which it is refused if still queued.
-        again: Whether it was dispatched before; its cost has been charged then,
-            and it goes to the head of the queue.
+        again: Whether it was dispatched before; it is queued at the current
+            virtual time, since its cost has been charged already.
     """
     start = queue.virtual if again else start_tag(queue, req.organisation)
     if queue.fair and not again:
