--- a/copperloom/decisions/tests/test_reservation.py
+++ b/copperloom/decisions/tests/test_reservation.py
@@ -143,9 +143,9 @@
         parts = groups.choose(targets, need, lambda t: free_tokens[t.rank])
         if not parts:
             usable = sorted(
-                r for r in free_tokens if r >= groups.LEAST_PART_TOKENS
+                r for r in free_tokens if r >= groups.MIN_PART_TOKENS
             )
-            self.assertLess(sum(usable[-groups.GROUP_MOST :]), need)
+            self.assertLess(sum(usable[-groups.MAX_GROUP_SIZE :]), need)
             return
         self.assertEqual(sum(part for _, part in parts), need)
         ranks = [tgt.rank for tgt, _ in parts]
