--- a/copperloom/decisions/deferral.py
+++ b/copperloom/decisions/deferral.py
@@ -78,7 +78,7 @@
     readers = []
     writers = list(load.decodes)
     start_s = 0.0
-    by_end = sorted(zip(time.done_s, load.prefills, strict=True), key=_end)
+    by_end = sorted(zip(time.finish_s, load.prefills, strict=True), key=_end)
     for done_s, reader in by_end:
         if done_s > by_s:
             readers.append(_remaining(reader, start_s, done_s, by_s))
--- a/copperloom/decisions/inflight.py
+++ b/copperloom/decisions/inflight.py
@@ -1,12 +1,12 @@
-"""Work in progress at a target, and what it comes to in sum."""
+"""Work in progress at one target, and its sum."""
 
 import dataclasses
 from collections.abc import Iterable
 
 __all__ = ["Prefill", "TargetLoad", "Work", "Decode", "total"]
 
-# A reading that is this much overdue counts no longer: the caller's own
-# patience ends it, and its target is most likely not working.
+# A prefill that is overdue by this much is ignored: the caller's timeout ends
+# it, and its target has most likely failed.
 _OVERDUE_FACTOR = 3.0
 _OVERDUE_S = 2.0
 
@@ -16,17 +16,20 @@
     """One request's share of the work of one target.
 
     Attributes:
-        target: The target's name.
-        prefill_s: Predicted time of the reading there, 0 for plain services.
-        generates: Whether the target also writes the answer.
+        target: Name of the target.
+        prefill_s: Predicted prefill time there, in seconds; 0 for plain
+            services.
+        generates: Whether the target decodes the answer.
         tokens: Memory held there, in tokens.
-        pause_aim_s: Longest pause that the caller accepts.
+        pause_aim_s: Inter-token objective, in seconds.
         started_at: Monotonic time at which it was sent.
-        decoding: Whether its first token has come, so that reading is over.
-        worth: What its caller has at stake, in units of a short prompt.
-        due_s: Time from `begun` until its first token should come.
-        is_split: Whether several targets read the prompt; they read such
-            parts before whole prompts.
+        decoding: Whether the first token has come, so that the prefill is
+            finished.
+        worth: Worth of the request, in units of a short prompt.
+        due_s: Time from `started_at` until the first token is due, in
+            seconds.
+        is_split: Whether several targets prefill the prompt; engines process
+            such parts before whole prompts.
     """
 
     target: str
@@ -43,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decode:
-    """An answer that is being written.
+    """An answer that is being generated.
 
     Attributes:
-        pause_aim_s: Longest pause that its caller accepts.
-        worth: What its caller has at stake.
+        pause_aim_s: Inter-token objective, in seconds.
+        worth: Worth of the request.
     """
 
     pause_aim_s: float
@@ -56,16 +59,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prefill:
-    """A prompt or part that is being read.
+    """The prefill of a prompt, or of a part of one.
 
     Attributes:
-        age_s: Time since it was sent.
-        prefill_s: Predicted time of the reading alone.
-        due_s: Time from now until its first token should come.
-        worth: What its caller has at stake.
+        age_s: Time since it was sent, in seconds.
+        prefill_s: Predicted time of the prefill alone, in seconds.
+        due_s: Time from now until the first token is due, in seconds.
+        worth: Worth of the request.
         is_split: Whether it is a part of a prompt.
-        pause_aim_s: Longest pause that its caller accepts once its answer is
-            written here; None if it is written elsewhere.
+        pause_aim_s: Inter-token objective if the answer is decoded here, in
+            seconds; None if it is decoded elsewhere.
     """
 
     age_s: float
@@ -81,12 +84,13 @@
     """The sum of the work at one target.
 
     Attributes:
-        requests: Requests that write or will write there, or are called.
-        parts: Requests that it only reads a part for.
-        prefills: Prompts and parts that are being read, the oldest first.
-        decodes: Answers that are being written.
-        context: Tokens of context of the answers being written.
-        tokens: Memory held.
+        requests: Requests of plain services, and those whose answer the
+            target decodes or will decode.
+        parts: Requests for which it only prefills a part.
+        prefills: Prompts and parts in prefill, the oldest first.
+        decodes: Answers that are being generated.
+        context: Context of these answers, in tokens.
+        tokens: Memory held, in tokens.
     """
 
     requests: int = 0
@@ -101,14 +105,14 @@
     """Sums the work at one target.
 
     Args:
-        works: What is in progress there.
+        works: Work in progress there.
         now: Monotonic time.
     """
     works = list(works)
-    # Each step of an answer needs the engines that hold a share of its memory,
-    # so they count as its writers too.
-    writing = [w for w in works if w.decoding and (w.generates or w.tokens)]
-    reading = [
+    # Each decoding step needs the engines that hold a share of the request's
+    # memory, so the answer counts as decoded there too.
+    decoding = [w for w in works if w.decoding and (w.generates or w.tokens)]
+    prefilling = [
         w
         for w in works
         if not w.decoding
@@ -127,9 +131,9 @@
                 is_split=w.is_split,
                 pause_aim_s=w.pause_aim_s if w.generates else None,
             )
-            for w in sorted(reading, key=lambda w: w.started_at)
+            for w in sorted(prefilling, key=lambda w: w.started_at)
         ),
-        decodes=tuple(Decode(w.pause_aim_s, w.worth) for w in writing),
-        context=sum(w.tokens for w in writing),
+        decodes=tuple(Decode(w.pause_aim_s, w.worth) for w in decoding),
+        context=sum(w.tokens for w in decoding),
         tokens=sum(w.tokens for w in works),
     )
--- a/copperloom/decisions/inflight_table.py
+++ b/copperloom/decisions/inflight_table.py
@@ -1,10 +1,10 @@
-"""What all instances together have in progress at each target.
+"""The work in progress of all instances at each target.
 
-Each instance sees only its own callers. Where nine instances place by their
-own counts alone, each finds the same target idle and all send to it. So each
-tells the others what it has in progress, and placement looks at the sum. What
-a peer said fades when the peer falls silent: a dead instance's work ends with
-its connections, and counting it for ever would leave its targets unused.
+An instance that placed by its own requests alone would find the same targets
+idle as its peers do, and all would overload them together. So instances send
+each other reports of their work, and placement uses the sum. Reports of a
+silent peer expire: a dead instance's work ends with its connections, and
+counting it forever would leave its targets unused.
 """
 
 import dataclasses
@@ -28,26 +28,27 @@
     "own_work",
 ]
 
-# A peer tells its work at least once a second; three seconds are three lost
-# messages in a row, beyond the loss of a working network.
+# Peers report at least once a second; losing three messages in a row exceeds
+# the loss of a working network.
 PEER_TIMEOUT_S = 3.0
-# A placement made for a peer counts for so long until the peer tells it.
+# A placement made for a peer counts for this long unless the peer reports it
+# earlier.
 PENDING_S = 0.5
 
-# Whose work it is: a peer's name ("" for this instance's own) and a request's
-# id ("" for all that a peer has told).
+# The holder of work: a peer's name ("" for this instance) and a request's id
+# ("" for all work that a peer has reported).
 _Holder = tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerWork:
-    """What a peer has in progress, and when it said so.
+    """A peer's report of its work in progress.
 
     Attributes:
-        boot: The run of the peer's process.
+        boot: Identifies the run of the peer's process.
         sequence: Number of the message.
-        received_at: Monotonic time at which it came.
-        work: Its work; begun is on this instance's clock.
+        received_at: Monotonic time at which it was received.
+        work: The peer's work; `started_at` is on this instance's clock.
     """
 
     boot: str
@@ -58,12 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingPlacement:
-    """A placement made for a peer that the peer has not told of yet.
+    """A placement made for a peer that the peer has not reported yet.
 
     Attributes:
-        sequence: Number of the last message that the peer had sent by then.
+        sequence: Number of the last message that the peer had sent when it
+            was placed.
         until: Monotonic time until which it counts.
-        work: The work.
+        work: The placed work.
     """
 
     sequence: int
@@ -76,13 +78,14 @@
 
     Attributes:
         own: This instance's work by request id.
-        peers: The peers' work by instance name.
+        peers: The peers' reports by instance name.
         pending: Placements made for peers, by instance name and request id.
-        by_target: All work by target and holder, kept as it changes: a
-            placement then costs as much as the work at the targets it weighs,
-            not as much as the whole fleet's.
-        on_change: Called after each change of this instance's own work; told
-            whether work was added, which others should know of at once.
+        by_target: All work by target and holder. It is updated with each
+            change, so that a placement costs as much as the work at its
+            candidates, not as much as that of the whole fleet.
+        on_change: Called after each change of this instance's own work; the
+            argument is whether work was added, which peers should learn at
+            once.
     """
 
     def __init__(self):
@@ -94,31 +97,31 @@
 
 
 def _ignore(added: bool) -> None:
-    """Tells nobody."""
+    """Does nothing; the default of `InflightTable.on_change`."""
 
 
 def _add(
-    table: InflightTable, holder: _Holder, work: tuple[inflight.Work, ...]
+    table: InflightTable, holder: _Holder, works: tuple[inflight.Work, ...]
 ) -> None:
-    for one in work:
-        held = table.by_target.setdefault(one.target, {})
-        held[holder] = (*held.get(holder, ()), one)
+    for work in works:
+        by_holder = table.by_target.setdefault(work.target, {})
+        by_holder[holder] = (*by_holder.get(holder, ()), work)
 
 
 def _drop(
-    table: InflightTable, holder: _Holder, work: tuple[inflight.Work, ...]
+    table: InflightTable, holder: _Holder, works: tuple[inflight.Work, ...]
 ) -> None:
-    for target in {one.target for one in work}:
-        held = table.by_target.get(target, {})
-        held.pop(holder, None)
-        if not held:
+    for target in {work.target for work in works}:
+        by_holder = table.by_target.get(target, {})
+        by_holder.pop(holder, None)
+        if not by_holder:
             table.by_target.pop(target, None)
 
 
 def begin(
     table: InflightTable, request: str, work: Iterable[inflight.Work]
 ) -> None:
-    """Notes work that is about to be sent, replacing the request's earlier."""
+    """Records work that is about to be sent; replaces the request's earlier."""
     _drop(table, ("", request), table.own.get(request, ()))
     table.own[request] = tuple(work)
     _add(table, ("", request), table.own[request])
@@ -126,7 +129,7 @@
 
 
 def mark_decoding(table: InflightTable, request: str) -> None:
-    """Notes the first token: all parts are read, only the writer is left."""
+    """Records the first token: the prefill is finished, decoding goes on."""
     if request not in table.own:
         return
     before = table.own[request]
@@ -141,7 +144,7 @@
 
 
 def end(table: InflightTable, request: str) -> None:
-    """Notes that a request has nothing in progress any more."""
+    """Records that a request has no more work in progress."""
     work = table.own.pop(request, None)
     if work is not None:
         _drop(table, ("", request), work)
@@ -156,59 +159,59 @@
     work: Iterable[inflight.Work],
     now: float,
 ) -> None:
-    """Notes a placement made for a peer.
+    """Records a placement made for a peer.
 
-    Others are placed before the peer's own word comes; without the note two
-    of them get the same last slot.
+    Other requests are placed before the peer's own report arrives; without
+    this record two of them could get the same last slot.
 
     Args:
         table: The work in progress.
-        peer: The peer's name.
-        request: Its request.
+        peer: Name of the peer.
+        request: Id of its request.
         sequence: Number of the last message that the peer had sent when it
-            asked.
-        work: What it will have in progress.
+            sent the placement query.
+        work: The work that the peer will have in progress.
         now: Monotonic time.
     """
     _remove_pending(table, peer, request)
-    made = PendingPlacement(sequence, now + PENDING_S, tuple(work))
-    table.pending.setdefault(peer, {})[request] = made
-    _add(table, (peer, request), made.work)
+    placement = PendingPlacement(sequence, now + PENDING_S, tuple(work))
+    table.pending.setdefault(peer, {})[request] = placement
+    _add(table, (peer, request), placement.work)
 
 
 def _remove_pending(table: InflightTable, peer: str, request: str) -> None:
-    made = table.pending.get(peer, {}).pop(request, None)
-    if made is not None:
-        _drop(table, (peer, request), made.work)
+    placement = table.pending.get(peer, {}).pop(request, None)
+    if placement is not None:
+        _drop(table, (peer, request), placement.work)
 
 
-def apply_update(table: InflightTable, peer: str, told: PeerWork) -> bool:
-    """Takes over what a peer says; False if it is older than what is known.
+def apply_update(table: InflightTable, peer: str, update: PeerWork) -> bool:
+    """Applies a peer's report; returns False if a later one is known.
 
-    Messages may overtake each other. A new boot knows nothing of the earlier
-    one's work, so it replaces all that was known.
+    Messages may arrive out of order. A new boot has none of the earlier one's
+    work, so its first report replaces all that was known.
     """
     known = table.peers.get(peer)
-    same_boot = known is not None and known.boot == told.boot
-    if same_boot and told.sequence <= known.sequence:
+    same_boot = known is not None and known.boot == update.boot
+    if same_boot and update.sequence <= known.sequence:
         return False
     if known is not None:
         _drop(table, (peer, ""), known.work)
-    table.peers[peer] = told
-    _add(table, (peer, ""), told.work)
-    for request, made in list(table.pending.get(peer, {}).items()):
-        if made.sequence < told.sequence or not same_boot:
+    table.peers[peer] = update
+    _add(table, (peer, ""), update.work)
+    for request, placement in list(table.pending.get(peer, {}).items()):
+        if placement.sequence < update.sequence or not same_boot:
             _remove_pending(table, peer, request)
     return True
 
 
 def drop_target(table: InflightTable, target: str) -> None:
-    """Drops what peers had at a target that has started again."""
-    for peer, told in table.peers.items():
-        kept = tuple(w for w in told.work if w.target != target)
-        if len(kept) < len(told.work):
-            table.peers[peer] = dataclasses.replace(told, work=kept)
-            _drop(table, (peer, ""), told.work)
+    """Drops the peers' work at a target that has restarted."""
+    for peer, report in table.peers.items():
+        kept = tuple(w for w in report.work if w.target != target)
+        if len(kept) < len(report.work):
+            table.peers[peer] = dataclasses.replace(report, work=kept)
+            _drop(table, (peer, ""), report.work)
             _add(table, (peer, ""), kept)
     for holder in list(table.by_target.get(target, ())):
         peer, request = holder
@@ -217,27 +220,27 @@
 
 
 def drop_silent_peers(table: InflightTable, now: float) -> None:
-    """Drops the work of peers that fell silent, and grants never taken up."""
-    for peer, told in list(table.peers.items()):
-        if now - told.received_at > PEER_TIMEOUT_S:
-            _drop(table, (peer, ""), told.work)
+    """Drops work of silent peers, and placements that no peer has reported."""
+    for peer, report in list(table.peers.items()):
+        if now - report.received_at > PEER_TIMEOUT_S:
+            _drop(table, (peer, ""), report.work)
             del table.peers[peer]
-    for peer, grants in list(table.pending.items()):
-        for request, made in list(grants.items()):
-            if now > made.until:
+    for peer, placements in list(table.pending.items()):
+        for request, placement in list(placements.items()):
+            if now > placement.until:
                 _remove_pending(table, peer, request)
-        if not grants:
+        if not placements:
             del table.pending[peer]
 
 
 def staleness_s(table: InflightTable, now: float) -> float:
-    """Returns the age of the oldest word of a peer that still counts."""
-    ages = (now - told.received_at for told in table.peers.values())
+    """Returns the age of the oldest report that still counts, in seconds."""
+    ages = (now - report.received_at for report in table.peers.values())
     return max((a for a in ages if a <= PEER_TIMEOUT_S), default=0.0)
 
 
 def own_work(table: InflightTable) -> list[inflight.Work]:
-    """Lists this instance's own work."""
+    """Returns this instance's own work."""
     return [w for works in table.own.values() for w in works]
 
 
@@ -249,7 +252,7 @@
     Args:
         table: The work in progress.
         now: Monotonic time.
-        targets: Names of the targets that matter; None for all.
+        targets: Names of the targets to sum; None for all.
 
     Returns:
         The load by target name.
@@ -265,13 +268,13 @@
 def _active_work(
     table: InflightTable, target: str, now: float
 ) -> list[inflight.Work]:
-    """Lists the work at a target that still counts."""
-    works = []
-    for (peer, request), held in table.by_target.get(target, {}).items():
+    """Returns the work at a target that has not expired."""
+    active = []
+    for (peer, request), works in table.by_target.get(target, {}).items():
         if peer and request:
             if now > table.pending[peer][request].until:
                 continue
         elif peer and now - table.peers[peer].received_at > PEER_TIMEOUT_S:
             continue
-        works.extend(held)
-    return works
+        active.extend(works)
+    return active
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -1,7 +1,7 @@
-"""The worth that a placement takes from others, and its own lateness.
+"""The worth that a placement costs other requests and the request itself.
 
-Times are predicted by `copperloom.decisions.iterations`; how likely a time
-turns out too late is a slope, not a step, because more comes in between.
+Times are predicted by `copperloom.decisions.iterations`. Whether a time misses
+its objective is a probability, since more work may arrive in between.
 """
 
 import dataclasses
@@ -17,48 +17,48 @@
     "prefill_interference",
 ]
 
-# Times are predicted to about this; lateness is a slope, not a step, so that
-# of two placements near the limit the quicker one is taken.
+# Error of the predicted times: a smooth loss makes the quicker of two
+# placements near the limit the cheaper one.
 PREDICTION_ERROR_S = 0.035
-# The longer a time, the more comes in between; as shares of the limit.
+# The error grows with the time predicted; share of the limit.
 PREDICTION_ERROR_SHARE = 0.06
-# An aim below it would make any wait dear.
-_LEAST_AIM_S = 0.05
-# Kept free below a limit for the way, for timers and for what is not known.
+# Lower bound of an objective when waiting is related to it.
+_MIN_OBJECTIVE_S = 0.05
+# Margin below a limit for the network, timers and unknown work.
 NETWORK_MARGIN_S = 0.03
 NETWORK_MARGIN_SHARE = 0.1
-# Share of its worth that a late request loses.
+# Share of its worth that a request loses when it misses an objective.
 LATE_LOSS = 0.75
-# Requests below this worth are short: they come often and end soon.
+# Requests below this worth are short: they arrive often and end soon.
 SHORT_WORTH = 3.0
-# Cost of a second of waiting, to tell placements apart that are all in time.
+# Cost of a second of waiting; ranks placements that all meet the objective.
 WAIT_COST = 0.25
-# A prompt that comes while an engine reads a part no longer than this still
-# gets its first token in time there.
+# A prompt that arrives during a prefill no longer than this still gets its
+# first token within its objective.
 SHORT_PART_S = 0.12
-# A prompt that is read within this time writes in the next pass.
-SOON_WRITES_S = 0.08
-# Share of an engine's slots that new prompts can make use of: they come in
-# clumps, and each writer slows the pass a little.
+# A prompt whose prefill ends within this time decodes in the next iteration.
+SOON_DECODES_S = 0.08
+# Share of an engine's slots that new prompts can use: arrivals are bursty, and
+# each decode lengthens the iteration a little.
 USABLE_SLOTS = 0.7
-# A short answer is written in about this time, so the requests in progress
-# come anew once in it.
+# Typical generation time of a short answer; short requests in progress are
+# replaced by as many new ones in it.
 SHORT_ANSWER_S = 1.5
-# Callers leave a stream that shows no token for four times its objective.
+# Callers abandon a stream without a token after a multiple of its objective.
 ABANDON_OBJECTIVES = 3.5
-# Kept below the silence after which callers leave: one that has left has
-# nothing of what was done for it.
+# Safety factor for the silence after which callers leave: for them, all work
+# is lost.
 ABANDON_MARGIN = 0.75
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecodeLoss:
-    """What a target's writers stand to lose, before anything is added.
+    """The worth that a target's decodes lose before any work is added.
 
     Attributes:
-        decodes: Pairs of a longest accepted pause and the worth of all answers
-            that have it: a target writes many answers of few kinds.
-        lost: The worth that they lose as things are.
+        decodes: Pairs of an inter-token objective in seconds and the worth of
+            all answers that have it; a target has few distinct objectives.
+        lost: The worth that they lose at present.
     """
 
     decodes: tuple[tuple[float, float], ...]
@@ -66,14 +66,19 @@
 
 
 def decode_loss(tgt: plans.Candidate, time: iterations.Timeline) -> DecodeLoss:
-    """Prepares what `prefill_interference` needs of a target."""
-    aims: dict[float, float] = {}
-    for writer in tgt.load.decodes:
-        aim = writer.pause_aim_s
-        aims[aim] = aims.get(aim, 0.0) + writer.worth
+    """Returns the input of `prefill_interference` that is common to all parts.
+
+    Args:
+        tgt: The target.
+        time: Its predicted iterations.
+    """
+    objectives: dict[float, float] = {}
+    for decode in tgt.load.decodes:
+        objective = decode.pause_aim_s
+        objectives[objective] = objectives.get(objective, 0.0) + decode.worth
     before = time.decode_only_s + time.queued_prefill_s
-    lost = sum(w * _pause_loss(aim, before) for aim, w in aims.items())
-    return DecodeLoss(tuple(aims.items()), lost)
+    lost = sum(w * _gap_loss(aim, before) for aim, w in objectives.items())
+    return DecodeLoss(tuple(objectives.items()), lost)
 
 
 def prefill_interference(
@@ -81,56 +86,90 @@
     time: iterations.Timeline,
     known: DecodeLoss,
     part_s: float,
-    in_parts: bool,
+    is_split: bool,
 ) -> float:
-    """Predicts the worth that others lose when a target reads a part."""
+    """Predicts the worth that others lose when a target prefills a part.
+
+    Args:
+        tgt: The target.
+        time: Its predicted iterations.
+        known: The loss of its decodes without the part.
+        part_s: Prefill time of the part, in seconds.
+        is_split: Whether it is one of several parts of a prompt.
+    """
     before = time.decode_only_s + time.queued_prefill_s
     lost = -known.lost
-    for aim, worth in known.decodes:
-        lost += worth * _pause_loss(aim, before + part_s)
-    # An engine that writes takes a part into its next pass; one that only
-    # reads puts parts before all else, and whole prompts after it.
-    shifts = bool(tgt.load.decodes) or in_parts
-    for reader, done, pending in zip(
-        tgt.load.prefills, time.done_s, time.pending, strict=True
+    for objective, worth in known.decodes:
+        lost += worth * _gap_loss(objective, before + part_s)
+    # An engine that decodes adds a part to its next iteration; one that only
+    # prefills processes parts before all else, and whole prompts last.
+    delays = bool(tgt.load.decodes) or is_split
+    for prefill, finish, queued in zip(
+        tgt.load.prefills, time.finish_s, time.queued, strict=True
     ):
-        if shifts and pending:
-            limit = reader.due_s - time.decode_only_s
-            more = _late(done + part_s, limit) - _late(done, limit)
-            lost += reader.worth * more * LATE_LOSS + part_s * WAIT_COST
-        # A prompt in the pass that runs writes from the next one on, and so
-        # does one that is nearly read: the part comes after its first token.
-        in_pass = bool(tgt.load.decodes) and not pending
-        if reader.pause_aim_s is not None and (in_pass or done < SOON_WRITES_S):
-            aim = reader.pause_aim_s
-            lost += reader.worth * _pause_loss(aim, before + part_s)
+        if delays and queued:
+            limit = prefill.due_s - time.decode_only_s
+            more = _late_probability(
+                finish + part_s, limit
+            ) - _late_probability(finish, limit)
+            lost += prefill.worth * more * LATE_LOSS + part_s * WAIT_COST
+        # A prompt in the current iteration, or nearly finished, decodes in the
+        # next one, so the part lengthens its first gap between tokens.
+        running = bool(tgt.load.decodes) and not queued
+        if prefill.pause_aim_s is not None and (
+            running or finish < SOON_DECODES_S
+        ):
+            objective = prefill.pause_aim_s
+            lost += prefill.worth * _gap_loss(objective, before + part_s)
     return lost + WAIT_COST * time.prefill_left_s
 
 
-def _pause_loss(aim_s: float, pause_s: float) -> float:
-    """Returns the share of an answer's worth that a pause takes."""
-    leaves_s = timeouts.abandon_after_s(0.0, aim_s)
-    loss = LATE_LOSS * _late(pause_s, aim_s)
-    return loss + (1 - LATE_LOSS) * _late(pause_s, leaves_s * ABANDON_MARGIN)
+def _gap_loss(objective_s: float, gap_s: float) -> float:
+    """Returns the share of an answer's worth that a gap between tokens costs.
+
+    Args:
+        objective_s: The inter-token objective, in seconds.
+        gap_s: The gap, in seconds.
+    """
+    abandon_s = timeouts.abandon_after_s(0.0, objective_s)
+    loss = LATE_LOSS * _late_probability(gap_s, objective_s)
+    return loss + (1 - LATE_LOSS) * _late_probability(
+        gap_s, abandon_s * ABANDON_MARGIN
+    )
 
 
 def waiting_loss(prompt: plans.Prompt, first_s: float) -> float:
-    """Predicts the worth that a request itself loses by waiting."""
-    aim = prompt.first_token_aim_s
-    loss = LATE_LOSS * _late(first_s, aim)
-    loss += (1 - LATE_LOSS) * _late(first_s, aim * ABANDON_OBJECTIVES)
-    waiting = WAIT_COST * first_s / max(aim, _LEAST_AIM_S)
+    """Predicts the worth that a request itself loses by waiting.
+
+    Args:
+        prompt: Its prompt.
+        first_s: Predicted time to the first token, in seconds.
+    """
+    objective = prompt.first_token_aim_s
+    loss = LATE_LOSS * _late_probability(first_s, objective)
+    loss += (1 - LATE_LOSS) * _late_probability(
+        first_s, objective * ABANDON_OBJECTIVES
+    )
+    waiting = WAIT_COST * first_s / max(objective, _MIN_OBJECTIVE_S)
     return plans.worth(prompt.tokens) * loss + waiting
 
 
 def arrival_interference(
     engine, candidates, chosen, times, part_s: float
 ) -> float:
-    """Predicts the worth that requests lose which come while a part is read.
-
-    Engines that read for long are closed to them. As long as the others have
-    slots enough for the requests in progress, nothing is lost; a prompt that
-    closes more than that makes all that come late until it is read.
+    """Predicts the worth that requests lose which arrive during a prefill.
+
+    Engines with a long prefill are closed to short requests. Nothing is lost
+    while the other engines have enough slots for the requests in progress;
+    beyond that, all requests that arrive until the prefill ends miss their
+    objectives.
+
+    Args:
+        engine: Figures of the service's engines.
+        candidates: The engines that may be used.
+        chosen: Those that prefill a part.
+        times: Their predicted iterations by name.
+        part_s: Prefill time of each part, in seconds.
     """
     closed_s = part_s - SHORT_PART_S
     if closed_s <= 0:
@@ -144,18 +183,18 @@
     short = sum(
         w.worth < SHORT_WORTH for c in candidates for w in c.load.decodes
     )
-    before = _turned_late(engine, len(open_now), short)
-    after = _turned_late(engine, len(open_now - names), short)
+    before = _displaced_requests(engine, len(open_now), short)
+    after = _displaced_requests(engine, len(open_now - names), short)
     return LATE_LOSS * (after - before) * closed_s / SHORT_ANSWER_S
 
 
-def _turned_late(engine, open_engines: int, short: int) -> float:
-    """Returns how many of the short requests find no place in time."""
+def _displaced_requests(engine, open_engines: int, short: int) -> float:
+    """Returns how many short requests find no slot at an open engine."""
     return max(0.0, short - open_engines * engine.slots * USABLE_SLOTS)
 
 
-def _late(time_s: float, limit_s: float) -> float:
-    """Returns the chance that a predicted time turns out over a limit."""
-    blur_s = max(PREDICTION_ERROR_S, PREDICTION_ERROR_SHARE * limit_s)
+def _late_probability(time_s: float, limit_s: float) -> float:
+    """Returns the probability that a predicted time exceeds its limit."""
+    error_s = max(PREDICTION_ERROR_S, PREDICTION_ERROR_SHARE * limit_s)
     limit_s -= max(NETWORK_MARGIN_S, NETWORK_MARGIN_SHARE * limit_s)
-    return 1.0 / (1.0 + math.exp(min(50.0, (limit_s - time_s) / blur_s)))
+    return 1.0 / (1.0 + math.exp(min(50.0, (limit_s - time_s) / error_s)))
--- a/copperloom/decisions/iterations.py
+++ b/copperloom/decisions/iterations.py
@@ -1,10 +1,10 @@
-"""How long a model engine's passes take.
+"""Predicts the iterations of a model engine.
 
-An engine works in passes. A pass that writes answers takes `stride` steps and
-gives each writer its event at the end; prompts are read inside the same
-passes. So the pause of a writer is the pass, and a pass grows by whatever
-reading stands beside it. The functions here predict those times from the
-figures that the operators state for the engines of a service.
+An engine works in iterations. An iteration that decodes runs `stride` steps
+and sends each answer's tokens at its end; prompts are prefilled within the
+same iterations. So the gap between tokens is one iteration, and each prefill
+beside a decode lengthens it. The predictions use the figures that the
+operators configure for the engines of a service.
 """
 
 import dataclasses
@@ -14,149 +14,158 @@
 
 __all__ = ["Timeline", "iteration_s", "simulate", "prefill_s"]
 
-# A reading that takes longer than predicted goes on; this share of it counts
-# until its first token shows that it has ended.
-_LEAST_LEFT = 0.15
+# A prefill may take longer than predicted; at least this share of it counts as
+# remaining until the first token shows that it has finished.
+_MIN_REMAINING_SHARE = 0.15
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timeline:
-    """What an engine will do next, as predicted.
+    """The predicted next iterations of an engine.
 
     Attributes:
-        decode_only_s: Its pass without any reading.
-        iteration_left_s: Time until the pass that runs now ends.
-        queued_prefill_s: Reading that came since and that the next pass takes
-            in.
-        done_s: Time until each reader's prompt or part is read, in order.
-        pending: Whether each of them waits for the next pass.
+        decode_only_s: Length of an iteration without any prefill, in seconds.
+        iteration_left_s: Time until the current iteration ends, in seconds.
+        queued_prefill_s: Prefill time of what has arrived since and joins the
+            next iteration, in seconds.
+        finish_s: Time from now until each prefill ends, in seconds, in the
+            order of the engine's prefills.
+        queued: Whether each of them waits for the next iteration.
     """
 
     decode_only_s: float
     iteration_left_s: float
     queued_prefill_s: float
-    done_s: tuple[float, ...]
-    pending: tuple[bool, ...]
+    finish_s: tuple[float, ...]
+    queued: tuple[bool, ...]
 
     @property
     def prefill_left_s(self) -> float:
-        """Time until all that is known of is read."""
-        return max(self.done_s, default=0.0)
+        """Time until all known prefills have ended, in seconds."""
+        return max(self.finish_s, default=0.0)
 
 
 def prefill_s(engine: routing.EngineSpec, tokens: int) -> float:
-    """Predicts the time to read a prompt at one engine, in seconds.
+    """Predicts the time to prefill a prompt at one engine, in seconds.
 
-    Each token costs the same, and each pair of a token and an earlier one
-    costs a little: long prompts cost with their square.
+    The cost is linear in the tokens plus attention's quadratic share: each
+    pair of a token and an earlier one adds `pair_s`.
     """
     pairs = 0.5 * tokens * tokens
     return tokens / engine.prefill_tokens_per_s + pairs * engine.pair_s
 
 
 def iteration_s(
-    engine: routing.EngineSpec, writers: int, context: int
+    engine: routing.EngineSpec, decodes: int, context: int
 ) -> float:
-    """Predicts a pass without any reading, in seconds.
+    """Predicts the length of an iteration without any prefill, in seconds.
 
     Args:
-        engine: The engine's figures.
-        writers: Answers being written.
-        context: Tokens of context of all of them together.
+        engine: Figures of the engine.
+        decodes: Number of answers being generated.
+        context: Sum of their context, in tokens.
     """
     step = engine.step_s
-    step += writers * engine.per_sequence_s
+    step += decodes * engine.per_sequence_s
     step += context * engine.context_s
     return engine.stride * step
 
 
 def simulate(engine: routing.EngineSpec, load: inflight.TargetLoad) -> Timeline:
-    """Predicts what an engine does next from what was sent to it.
+    """Predicts the next iterations of an engine from its work in progress.
 
-    An engine that writes takes into a pass all reading that has come by its
-    start; what comes later waits for the next one. So the pause of a writer is
-    one pass, and readings in different passes do not add up for it. An engine
-    that writes nothing turns to the newest part at once, and reads whole
-    prompts in their order after the parts.
+    An engine that decodes includes in an iteration all prefills that have
+    arrived by its start; later ones wait for the next. So the gap between
+    tokens is one iteration, and prefills in different iterations don't add up.
+    An engine that decodes nothing switches to the newest part at once, and
+    prefills whole prompts in order of arrival after the parts.
     """
-    idle_s = iteration_s(engine, len(load.decodes), load.context)
+    decode_only_s = iteration_s(engine, len(load.decodes), load.context)
     if not load.decodes:
-        return _play_reading(idle_s, load.prefills)
-    return _play_passes(idle_s, load.prefills)
+        return _simulate_prefill_only(decode_only_s, load.prefills)
+    return _simulate_mixed(decode_only_s, load.prefills)
 
 
-def _play_passes(idle_s: float, readers) -> Timeline:
-    # Times are relative to now; a pass ends at `end` and holds `length`.
+def _simulate_mixed(decode_only_s: float, prefills) -> Timeline:
+    # Times are relative to now; `end` is when the latest iteration ends.
     end = float("-inf")
-    done = []
-    pending = []
+    finish = []
+    queued = []
     waiting: list[int] = []
-    for index, reader in enumerate(readers):
-        sent = -reader.age_s
+    for index, prefill in enumerate(prefills):
+        sent = -prefill.age_s
         if waiting and sent > end:
-            end = _close_pass(readers, done, waiting, end, idle_s)
+            end = _run_iteration(prefills, finish, waiting, end, decode_only_s)
         waiting.append(index)
-        done.append(0.0)
-        pending.append(False)
+        finish.append(0.0)
+        queued.append(False)
         if sent > end:
-            # Nothing was being read: it joins the pass that starts next, on
-            # average after half of an idle one.
-            end = sent + idle_s / 2
+            # No prefill was running: it joins the next iteration, on average
+            # after half of a decode-only one.
+            end = sent + decode_only_s / 2
     while waiting and end <= 0.0:
-        end = _close_pass(readers, done, waiting, end, idle_s)
-    left = end if end > 0.0 else idle_s / 2
-    pending_s = sum(readers[i].prefill_s for i in waiting)
+        end = _run_iteration(prefills, finish, waiting, end, decode_only_s)
+    left = end if end > 0.0 else decode_only_s / 2
+    queued_prefill_s = sum(prefills[i].prefill_s for i in waiting)
     for index in waiting:
-        pending[index] = True
-        done[index] = left + idle_s + pending_s
+        queued[index] = True
+        finish[index] = left + decode_only_s + queued_prefill_s
     return Timeline(
-        idle_s, max(0.0, left), pending_s, tuple(done), tuple(pending)
+        decode_only_s,
+        max(0.0, left),
+        queued_prefill_s,
+        tuple(finish),
+        tuple(queued),
     )
 
 
-def _close_pass(readers, done, waiting, start, idle_s) -> float:
-    """Runs the pass that takes in all that waits; returns its end."""
-    reads_s = sum(readers[i].prefill_s for i in waiting)
-    end = start + idle_s + reads_s
+def _run_iteration(prefills, finish, waiting, start, decode_only_s) -> float:
+    """Runs an iteration with all waiting prefills; returns when it ends."""
+    sum_s = sum(prefills[i].prefill_s for i in waiting)
+    end = start + decode_only_s + sum_s
     for index in waiting:
-        done[index] = max(end, readers[index].prefill_s * _LEAST_LEFT)
+        finish[index] = max(
+            end, prefills[index].prefill_s * _MIN_REMAINING_SHARE
+        )
     waiting.clear()
     return end
 
 
-def _play_reading(idle_s: float, readers) -> Timeline:
-    """Plays an engine that only reads: the newest part first."""
+def _simulate_prefill_only(decode_only_s: float, prefills) -> Timeline:
+    """Simulates an engine without decodes: the newest part comes first."""
     order = sorted(
-        range(len(readers)),
+        range(len(prefills)),
         key=lambda i: (
-            not readers[i].is_split,
-            readers[i].age_s if readers[i].is_split else -readers[i].age_s,
+            not prefills[i].is_split,
+            prefills[i].age_s if prefills[i].is_split else -prefills[i].age_s,
         ),
     )
-    left = _reading_left(readers)
-    done = [0.0] * len(readers)
-    total = 0.0
+    remaining = _remaining_s(prefills)
+    finish = [0.0] * len(prefills)
+    elapsed = 0.0
     for index in order:
-        total += left[index]
-        done[index] = total
-    return Timeline(idle_s, 0.0, 0.0, tuple(done), (True,) * len(readers))
+        elapsed += remaining[index]
+        finish[index] = elapsed
+    return Timeline(
+        decode_only_s, 0.0, 0.0, tuple(finish), (True,) * len(prefills)
+    )
 
 
-def _reading_left(readers) -> list[float]:
-    """Plays the readings from the first on; each new part goes ahead."""
+def _remaining_s(prefills) -> list[float]:
+    """Returns what is left of each prefill when new parts preempt others."""
     left: list[float] = []
-    for index, reader in enumerate(readers):
-        left.append(reader.prefill_s)
-        until = readers[index + 1].age_s if index + 1 < len(readers) else 0.0
-        spent = reader.age_s - until
+    for index, prefill in enumerate(prefills):
+        left.append(prefill.prefill_s)
+        until = prefills[index + 1].age_s if index + 1 < len(prefills) else 0.0
+        budget = prefill.age_s - until
         # Parts from the newest on, then whole prompts from the oldest on.
-        stack = [i for i in range(index, -1, -1) if readers[i].is_split]
-        stack += [i for i in range(index + 1) if not readers[i].is_split]
-        for at in stack:
-            used = min(spent, left[at])
+        order = [i for i in range(index, -1, -1) if prefills[i].is_split]
+        order += [i for i in range(index + 1) if not prefills[i].is_split]
+        for at in order:
+            used = min(budget, left[at])
             left[at] -= used
-            spent -= used
+            budget -= used
     return [
-        max(value, reader.prefill_s * _LEAST_LEFT)
-        for value, reader in zip(left, readers, strict=True)
+        max(value, prefill.prefill_s * _MIN_REMAINING_SHARE)
+        for value, prefill in zip(left, prefills, strict=True)
     ]
--- a/copperloom/decisions/plans.py
+++ b/copperloom/decisions/plans.py
@@ -1,4 +1,4 @@
-"""What is placed, where it could go, and where it goes."""
+"""Prompts, candidate targets and the possible outcomes of a placement."""
 
 import dataclasses
 
@@ -15,26 +15,28 @@
     "worth",
 ]
 
-# Tokens up to which a prompt counts as short: read within a pass or two. Above
-# the second figure it is long: worth reading in parts and waiting for engines.
+# Prompts up to SHORT_TOKENS are short: their prefill fits into one or two
+# engine iterations. Prompts above LONG_TOKENS are long: they may be deferred
+# or refused.
 SHORT_TOKENS = 16_000
 LONG_TOKENS = 100_000
-# What any prompt is worth, and what each token adds, in units of a prompt of
-# 5,000 tokens: who sends 150,000 has some sixteen times as much at stake.
-LEAST_WORTH = 0.5
+# The worth of a prompt is linear in its length; the unit is the worth of a
+# prompt of 5,000 tokens.
+MIN_WORTH = 0.5
 TOKEN_WORTH = 0.0001
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """What is to be placed.
+    """A prompt to be placed.
 
     Attributes:
         tokens: Tokens of the prompt.
-        answer_tokens: Tokens of the answer, as far as can be guessed.
-        first_token_aim_s: When its first token should come.
-        pause_aim_s: Longest pause that its caller accepts.
-        waited_s: How long it has waited already.
+        answer_tokens: Estimated tokens of the answer.
+        first_token_aim_s: Objective for the time to the first token, in
+            seconds.
+        pause_aim_s: Inter-token objective, in seconds.
+        waited_s: Time that it has waited already, in seconds.
     """
 
     tokens: int
@@ -46,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that the work could go to.
+    """A target that may be chosen.
 
     Attributes:
-        name: Its name.
-        load: What it has in progress.
-        penalty: Its failures of late.
-        slots: Requests that it works on at once.
-        is_local: Whether it stands in the same data centre.
+        name: Name of the target.
+        load: Its work in progress.
+        penalty: Penalty for its recent failures.
+        slots: Requests that it processes concurrently.
+        is_local: Whether it is in the same data centre.
     """
 
     name: str
@@ -65,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """Memory to reserve.
+    """A reservation of KV-cache memory.
 
     Attributes:
-        target: Where.
-        tokens: How much.
+        target: Name of the target.
+        tokens: Memory to reserve there, in tokens.
     """
 
     target: str
@@ -78,16 +80,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Where a request goes.
+    """The placement of a request.
 
     Attributes:
-        lead: The target that gets the request.
-        helpers: Targets that read parts.
-        part_s: Predicted reading at each of them.
-        first_token_s: Predicted time to the first token.
-        cost: What was weighed, in units of worth.
-        holds: Memory to reserve at helpers, for a prompt that is larger than
-            the memory of one engine.
+        lead: The target that gets the request and decodes the answer.
+        helpers: Targets that prefill the other parts of the prompt.
+        part_s: Predicted prefill time of each part, in seconds.
+        first_token_s: Predicted time to the first token, in seconds.
+        cost: Total cost of the placement, in units of worth.
+        holds: Memory to reserve at helpers, for a prompt that exceeds the
+            memory of one engine.
     """
 
     lead: str
@@ -100,11 +102,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deferral:
-    """A prompt is held for a moment, because engines come free.
+    """A prompt is held back because engines are about to become free.
 
     Attributes:
-        delay_s: How long, before it is looked at again.
-        plan: What could be done now.
+        delay_s: Time until it is placed again, in seconds.
+        plan: The best plan at present.
     """
 
     delay_s: float
@@ -113,19 +115,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A prompt takes more from others than it is worth.
+    """A prompt is refused because it would cost others more than its worth.
 
     Attributes:
-        plan: What could be done now.
+        plan: The best plan at present.
     """
 
     plan: Plan
 
 
-# None: no target has a free slot and memory.
+# None if no target has a free slot and enough memory.
 Choice = Plan | Deferral | Refusal | None
 
 
 def worth(tokens: int) -> float:
-    """Returns what a caller has at stake, in units of a short prompt."""
-    return LEAST_WORTH + TOKEN_WORTH * tokens
+    """Returns the worth of a prompt, in units of a short prompt."""
+    return MIN_WORTH + TOKEN_WORTH * tokens
--- a/copperloom/decisions/tests/test_deferral.py
+++ b/copperloom/decisions/tests/test_deferral.py
@@ -97,10 +97,12 @@
         load = inflight.TargetLoad(
             parts=2, prefills=(_reader(1.0, 0.4), _reader(0.5, 0.1))
         )
-        ends = sorted(iterations.simulate(ENGINE, load).done_s)
+        ends = sorted(iterations.simulate(ENGINE, load).finish_s)
         later = deferral.predict_load(ENGINE, load, 0.2)
         for before, after in zip(
-            ends, sorted(iterations.simulate(ENGINE, later).done_s), strict=True
+            ends,
+            sorted(iterations.simulate(ENGINE, later).finish_s),
+            strict=True,
         ):
             self.assertAlmostEqual(before - 0.2, after, places=2)
 
--- a/copperloom/decisions/tests/test_planner.py
+++ b/copperloom/decisions/tests/test_planner.py
@@ -209,15 +209,15 @@
         time = iterations.simulate(ENGINE, load)
         self.assertAlmostEqual(time.iteration_left_s, 0.75, delta=0.06)
         self.assertAlmostEqual(time.queued_prefill_s, 0.2)
-        self.assertEqual(time.pending, (False, True))
-        self.assertGreater(time.done_s[1], time.iteration_left_s)
+        self.assertEqual(time.queued, (False, True))
+        self.assertGreater(time.finish_s[1], time.iteration_left_s)
 
     def test_engine_that_only_reads_turns_to_the_newest_part(self):
         old = inflight.Prefill(0.5, 1.0, 2.0, 5.0, True, None)
         new = inflight.Prefill(0.2, 1.0, 2.0, 5.0, True, None)
         time = iterations.simulate(ENGINE, _load(prefills=(old, new)))
-        self.assertAlmostEqual(time.done_s[1], 0.8)
-        self.assertAlmostEqual(time.done_s[0], 0.8 + 0.7)
+        self.assertAlmostEqual(time.finish_s[1], 0.8)
+        self.assertAlmostEqual(time.finish_s[0], 0.8 + 0.7)
 
     def test_idle_engine(self):
         time = iterations.simulate(ENGINE, inflight.TargetLoad())
