--- a/copperloom/decisions/choice.py
+++ b/copperloom/decisions/choice.py
@@ -1,4 +1,4 @@
-"""What becomes of a prompt now: it is placed, held for a moment or refused."""
+"""Decides whether a prompt is placed, deferred or refused."""
 
 from copperloom import routing
 from copperloom.decisions import deferral, planner, plans
@@ -14,20 +14,20 @@
     may_lead: frozenset[str] | None = None,
     is_repeat: bool = False,
 ) -> plans.Choice:
-    """Decides what becomes of a prompt, as things are now.
+    """Returns the outcome of a placement at present.
 
     Args:
         engine: Figures of the service's engines.
-        prompt: What is to be placed.
+        prompt: The prompt to be placed.
         candidates: The engines that may be used.
-        may_lead: Names of those that may get the request; None allows all.
-        is_repeat: Whether it was sent before: it has cost its caller time
-            enough, so it is neither held nor refused.
+        may_lead: Names of the engines that may be the lead; None allows all.
+        is_repeat: Whether the request was sent before; it has already been
+            delayed, so it is neither deferred nor refused.
     """
     plan = planner.plan_prompt(engine, prompt, candidates, may_lead=may_lead)
     if plan is None or is_repeat:
         return plan
-    wait_s = deferral.defer_s(engine, prompt, candidates, plan)
-    if wait_s:
-        return plans.Deferral(wait_s, plan)
+    delay_s = deferral.defer_s(engine, prompt, candidates, plan)
+    if delay_s:
+        return plans.Deferral(delay_s, plan)
     return plans.Refusal(plan) if planner.is_refused(prompt, plan) else plan
--- a/copperloom/decisions/decode_rate.py
+++ b/copperloom/decisions/decode_rate.py
@@ -1,9 +1,9 @@
-"""Whether a target writes more slowly than its figures say.
+"""Detects engines that decode more slowly than configured.
 
-Made for engines that turn slow for some seconds while they answer well: their
-passes take three to five times as long, every answer there is late by its
-pauses, and placement goes by figures that no longer hold. A reading beside an
-answer makes one pause long; only a slow engine makes all of them long.
+A degraded engine still responds, but every iteration takes a multiple of its
+usual time, so that all its answers miss their inter-token objectives and
+predictions are wrong. A prefill beside an answer lengthens one gap between
+tokens; only a slow engine lengthens all of them.
 """
 
 import collections
@@ -13,46 +13,48 @@
 
 __all__ = ["RecentPauses", "is_slow", "record_pause"]
 
-# Pauses in a row that must all be long: fewer meet readings by chance.
-PAUSES = 3
-# Times a full engine's pass; the engines' own spread is some hundredths.
+# Successive gaps that must all be long; fewer could be due to prefills.
+MIN_GAPS = 3
+# Multiple of a full engine's iteration that counts as slow.
 SLOW_FACTOR = 1.7
-# Share of an engine's memory that its writers mostly hold at a peak.
+# Typical share of an engine's memory that decodes hold at a peak.
 BUSY_SHARE = 0.25
 
 
 class RecentPauses:
-    """The latest pauses of one stream at one target.
+    """The latest gaps between tokens of one stream at one target.
 
     Attributes:
-        pauses: In seconds, the latest last.
+        pauses: The gaps in seconds, the latest last.
     """
 
     def __init__(self):
-        self.pauses: collections.deque[float] = collections.deque(maxlen=PAUSES)
+        self.pauses: collections.deque[float] = collections.deque(
+            maxlen=MIN_GAPS
+        )
 
 
-def record_pause(pace: RecentPauses, pause_s: float) -> None:
-    """Notes the time between two events."""
-    pace.pauses.append(pause_s)
+def record_pause(recent: RecentPauses, pause_s: float) -> None:
+    """Records the time between two events, in seconds."""
+    recent.pauses.append(pause_s)
 
 
 def is_slow(
-    pace: RecentPauses, engine: routing.EngineSpec, prompt_tokens: int
+    recent: RecentPauses, engine: routing.EngineSpec, prompt_tokens: int
 ) -> bool:
-    """Tells whether all of the latest pauses are longer than a full pass.
+    """Returns whether all recent gaps exceed a full engine's iteration.
 
     Args:
-        pace: The stream's pauses; forgotten if they were long, so that the
-            next ones count anew.
+        recent: The stream's gaps; cleared if they were long, so that the same
+            gaps are not reported twice.
         engine: Figures of the service's engines.
-        prompt_tokens: Length of the stream's own prompt.
+        prompt_tokens: Tokens of the stream's prompt.
     """
-    if len(pace.pauses) < PAUSES:
+    if len(recent.pauses) < MIN_GAPS:
         return False
     context = int(engine.kv_tokens * BUSY_SHARE) + prompt_tokens
     full_s = iterations.iteration_s(engine, engine.slots, context)
-    if min(pace.pauses) < SLOW_FACTOR * full_s:
+    if min(recent.pauses) < SLOW_FACTOR * full_s:
         return False
-    pace.pauses.clear()
+    recent.pauses.clear()
     return True
--- a/copperloom/decisions/deferral.py
+++ b/copperloom/decisions/deferral.py
@@ -1,10 +1,9 @@
-"""Whether a prompt is placed now or soon.
+"""Decides whether a prompt is placed now or slightly later.
 
-Made for prompts of 150,000 tokens and more that come while others of the kind
-are being read. An engine reads the newest part first, so placed at once it
-makes the earlier ones late, or is left to one engine that reads it alone for
-six seconds, twice the time that it has. A second later five engines are free
-and read it in one more.
+When long prompts arrive while others are in prefill, placing one at once
+either delays the earlier ones (an engine processes the newest part first) or
+leaves it to few engines that prefill it too slowly. A moment later more
+engines may be free, and all of them meet their objectives.
 """
 
 import dataclasses
@@ -14,16 +13,17 @@
 
 __all__ = ["predict_load", "defer_s"]
 
-# Waiting is weighed for prompts whose plan costs this share of their worth:
-# most of it is lost by being late, or by making others late.
+# A deferral is considered for prompts whose plan costs this share of their
+# worth: most of that is lost by missed objectives, its own or those of others.
 COSTLY_SHARE = 0.25
-# Moments looked at, in shares of the time left until the first token is due.
+# Delays to evaluate, as shares of the time left until the first token is due.
 # Each costs as much as a placement.
-MOMENTS = (0.2, 0.4)
-# What is predicted for later is less sure: waiting must gain this share.
-SURE_GAIN = 0.3
-# Placement is looked at again after so long at the latest: more may come.
-STEP_S = 0.15
+DELAY_SHARES = (0.2, 0.4)
+# Share of the prompt's worth that a deferral must gain, since predictions are
+# uncertain.
+MIN_GAIN_SHARE = 0.3
+# Longest time until the next placement: other requests may arrive meanwhile.
+MAX_DELAY_S = 0.15
 
 
 def defer_s(
@@ -32,76 +32,84 @@
     candidates: list[plans.Candidate],
     plan: plans.Plan,
 ) -> float:
-    """Returns how long to wait before the prompt is placed; 0 for not at all.
+    """Returns how long to defer a prompt, in seconds; 0 to place it now.
 
     Args:
         engine: Figures of the service's engines.
-        prompt: What is to be placed.
+        prompt: The prompt to be placed.
         candidates: The engines that may be used.
-        plan: The best plan as things are now.
+        plan: The best plan at present.
     """
-    stake = plans.worth(prompt.tokens)
-    if prompt.tokens <= plans.LONG_TOKENS or plan.cost < COSTLY_SHARE * stake:
+    worth = plans.worth(prompt.tokens)
+    if prompt.tokens <= plans.LONG_TOKENS or plan.cost < COSTLY_SHARE * worth:
         return 0.0
     left_s = prompt.first_token_aim_s - prompt.waited_s
     if left_s <= 0:
         return 0.0
     best_s = 0.0
-    best_cost = plan.cost - SURE_GAIN * stake
-    for share in MOMENTS:
-        later_s = share * left_s
-        then = _plan_later(engine, prompt, candidates, later_s)
-        if then is None or then.first_token_s > prompt.first_token_aim_s:
-            # Late either way: it is placed or refused at once.
+    best_cost = plan.cost - MIN_GAIN_SHARE * worth
+    for share in DELAY_SHARES:
+        delay_s = share * left_s
+        later = _plan_later(engine, prompt, candidates, delay_s)
+        if later is None or later.first_token_s > prompt.first_token_aim_s:
+            # A deferral doesn't help a prompt that misses its objective anyway.
             continue
-        if then.cost < best_cost:
-            best_s, best_cost = later_s, then.cost
-    return min(best_s, STEP_S)
+        if later.cost < best_cost:
+            best_s, best_cost = delay_s, later.cost
+    return min(best_s, MAX_DELAY_S)
 
 
-def _plan_later(engine, prompt, candidates, later_s) -> plans.Plan | None:
-    later = dataclasses.replace(prompt, waited_s=prompt.waited_s + later_s)
-    free = [
-        dataclasses.replace(c, load=predict_load(engine, c.load, later_s))
+def _plan_later(engine, prompt, candidates, delay_s) -> plans.Plan | None:
+    later = dataclasses.replace(prompt, waited_s=prompt.waited_s + delay_s)
+    predicted = [
+        dataclasses.replace(c, load=predict_load(engine, c.load, delay_s))
         for c in candidates
     ]
-    return planner.plan_prompt(engine, later, free)
+    return planner.plan_prompt(engine, later, predicted)
 
 
 def predict_load(
-    engine: routing.EngineSpec, load: inflight.TargetLoad, by_s: float
+    engine: routing.EngineSpec, load: inflight.TargetLoad, delay_s: float
 ) -> inflight.TargetLoad:
-    """Predicts an engine's load some time later, if nothing more comes."""
+    """Predicts an engine's load some time later if no more work arrives.
+
+    Args:
+        engine: Figures of the engine.
+        load: Its load at present.
+        delay_s: Time from now, in seconds.
+    """
     if not load.prefills:
         return load
     time = iterations.simulate(engine, load)
-    readers = []
-    writers = list(load.decodes)
+    prefills = []
+    decodes = list(load.decodes)
     start_s = 0.0
-    by_end = sorted(zip(time.finish_s, load.prefills, strict=True), key=_end)
-    for done_s, reader in by_end:
-        if done_s > by_s:
-            readers.append(_remaining(reader, start_s, done_s, by_s))
-        elif reader.pause_aim_s is not None:
-            writers.append(inflight.Decode(reader.pause_aim_s, reader.worth))
-        start_s = done_s
+    by_finish = sorted(
+        zip(time.finish_s, load.prefills, strict=True), key=_finish_s
+    )
+    for finish_s, prefill in by_finish:
+        if finish_s > delay_s:
+            prefills.append(_remaining(prefill, start_s, finish_s, delay_s))
+        elif prefill.pause_aim_s is not None:
+            decodes.append(inflight.Decode(prefill.pause_aim_s, prefill.worth))
+        start_s = finish_s
     return dataclasses.replace(
-        load, prefills=tuple(readers), decodes=tuple(writers)
+        load, prefills=tuple(prefills), decodes=tuple(decodes)
     )
 
 
-def _end(item) -> float:
+def _finish_s(item) -> float:
     return item[0]
 
 
 def _remaining(
-    reader: inflight.Prefill, start_s, done_s, by_s
+    prefill: inflight.Prefill, start_s, finish_s, delay_s
 ) -> inflight.Prefill:
-    """Returns what is left of a reading."""
-    left_s = done_s - max(start_s, by_s)
+    """Returns the part of a prefill that remains after a delay."""
+    left_s = finish_s - max(start_s, delay_s)
     return dataclasses.replace(
-        reader,
+        prefill,
         age_s=0.0,
-        prefill_s=min(reader.prefill_s, left_s),
-        due_s=reader.due_s - by_s,
+        prefill_s=min(prefill.prefill_s, left_s),
+        due_s=prefill.due_s - delay_s,
     )
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -84,7 +84,7 @@
 def prefill_interference(
     tgt: plans.Candidate,
     time: iterations.Timeline,
-    known: DecodeLoss,
+    current: DecodeLoss,
     part_s: float,
     is_split: bool,
 ) -> float:
@@ -93,13 +93,13 @@
     Args:
         tgt: The target.
         time: Its predicted iterations.
-        known: The loss of its decodes without the part.
+        current: The loss of its decodes without the part.
         part_s: Prefill time of the part, in seconds.
         is_split: Whether it is one of several parts of a prompt.
     """
     before = time.decode_only_s + time.queued_prefill_s
-    lost = -known.lost
-    for objective, worth in known.decodes:
+    lost = -current.lost
+    for objective, worth in current.decodes:
         lost += worth * _gap_loss(objective, before + part_s)
     # An engine that decodes adds a part to its next iteration; one that only
     # prefills processes parts before all else, and whole prompts last.
--- a/copperloom/decisions/placement_query.py
+++ b/copperloom/decisions/placement_query.py
@@ -1,4 +1,4 @@
-"""A request as whoever places it needs to know it, and what becomes of it."""
+"""Placement queries to shard owners, and their replies."""
 
 import dataclasses
 
@@ -12,15 +12,16 @@
     """A request that is to be placed.
 
     Attributes:
-        request: Its id.
-        shard: Targets that it may go to.
-        data_centre: Where the instance stands that will send it.
+        request: Id of the request.
+        shard: The shard whose targets may be used.
+        data_centre: Data centre of the instance that will send the request.
         prompt: Its prompt; None for requests of plain services.
-        held_tokens: Memory that prompt and answer take at an engine.
-        avoid: Targets that it is not sent to again.
-        may_lead: Targets that may get it; None allows all.
-        is_repeat: Whether it was sent before.
-        is_away: Whether another data centre's owner has sent it on.
+        held_tokens: Memory that prompt and answer need at an engine, in
+            tokens.
+        avoid: Targets that must not get the request again.
+        may_lead: Targets that may be the lead; None allows all.
+        is_repeat: Whether the request was sent before.
+        is_away: Whether the owner of another data centre forwarded it.
     """
 
     request: str
@@ -36,16 +37,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """What becomes of a request now.
+    """The reply to a placement query.
 
     Attributes:
-        choice: The plan, a wait or a refusal; None: no target has room.
-        targets: How many targets were looked at.
-        targets_version: Version of the targets that it was decided by.
-        decided_by: The instance that decided.
-        staleness_s: Age of the oldest word of a peer that it goes by.
-        busy: How busy the shard is, as `overflow.busyness` says.
-        remote: Another data centre to ask, which has more room.
+        choice: A plan, a deferral or a refusal; None if no target has a free
+            slot and enough memory.
+        targets: Number of targets considered.
+        targets_version: Version of the target table used.
+        decided_by: Name of the instance that decided.
+        staleness_s: Age of the oldest peer report used, in seconds.
+        busy: Utilisation of the shard, see `spillover.utilisation`.
+        remote: A less utilised shard in another data centre that should get
+            the query instead; None if there is none.
     """
 
     choice: plans.Choice
@@ -60,14 +63,20 @@
 def planned_work(
     query: Query, plan: plans.Plan, now: float
 ) -> list[inflight.Work]:
-    """Lists what a plan's targets will do, and hold, for the request."""
+    """Returns the work and memory at each target of a plan.
+
+    Args:
+        query: The request.
+        plan: Its placement.
+        now: Monotonic time.
+    """
     prompt = query.prompt
-    held = {hold.target: hold.tokens for hold in plan.holds}
+    reserved = {hold.target: hold.tokens for hold in plan.holds}
     lead = inflight.Work(
         target=plan.lead,
         prefill_s=plan.part_s,
         generates=True,
-        tokens=max(0, query.held_tokens - sum(held.values())),
+        tokens=max(0, query.held_tokens - sum(reserved.values())),
         pause_aim_s=prompt.pause_aim_s if prompt else 0.0,
         started_at=now,
         worth=plans.worth(prompt.tokens if prompt else 0),
@@ -76,7 +85,7 @@
     )
     parts = [
         dataclasses.replace(
-            lead, target=name, generates=False, tokens=held.get(name, 0)
+            lead, target=name, generates=False, tokens=reserved.get(name, 0)
         )
         for name in plan.helpers
     ]
--- a/copperloom/decisions/planner.py
+++ b/copperloom/decisions/planner.py
@@ -1,15 +1,11 @@
-"""Places prompts by what they gain and by the harm that they do.
-
-Made for short prompts among long ones on the same engines. Reading a prompt
-of 150,000 tokens takes one engine three seconds, in which every answer being
-written there stands still. The time is the same in sum however it is divided,
-so a long prompt is read in parts by several engines: its own wait shrinks,
-and each writer beside it waits for one part only. How many parts is weighed
-per request: the worth that it loses by being late against the worth that the
-writers at the engines lose, for each number of parts.
-
-The worth of a request grows with its prompt (a caller who sends 150,000 tokens
-has more at stake, and has paid for more).
+"""Chooses the engines for a prompt by what it gains and what others lose.
+
+A long prompt occupies an engine for seconds, in which every answer decoded
+there stands still. The prefill time is about the same in sum however it is
+divided, so a long prompt is split among several engines: its own wait shrinks,
+and each decode beside it waits for one part only. The number of parts is
+chosen per request, by weighing the worth that it loses by missing its
+objective against the worth that decodes at the chosen engines lose.
 """
 
 import dataclasses
@@ -27,39 +23,40 @@
     "least_loaded",
 ]
 
-# An engine takes at most this many helpers for one prompt.
+# Helper engines of one prompt.
 MAX_HELPERS = 16
-# Numbers of parts that are tried, and the largest possible one: between large
-# ones the parts' length hardly differs.
+# Numbers of parts that are tried, along with the largest possible one: between
+# large numbers the length of a part hardly differs.
 PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14)
 SHORTEST_PART_S = 0.02
-# Engines weighed for one prompt: twice as many as take part in one.
+# Engines evaluated for one prompt; about twice as many as take part in one.
 MAX_CANDIDATES = 34
-# Targets whose work is summed for one request: the least busy of so many drawn
-# are nearly the least busy of all.
+# Targets whose work is summed for one request: the least loaded ones of a large
+# sample are nearly the least loaded of all.
 MAX_DRAWN = 120
-# Cost of each part more: an exchange between engines, and one more engine
-# whose loss breaks the request.
+# Cost of each further part: an exchange between engines, and one more engine
+# whose failure breaks the request.
 PART_COST = 0.02
-# A prompt whose placement costs others more than it is worth is refused.
+# A prompt is refused if its placement costs more than this multiple of its
+# worth.
 REFUSE_COST_RATIO = 1.0
-# A failure of late costs as much as this many units of worth.
+# Cost of one unit of a target's failure penalty, in units of worth.
 PENALTY_COST = 0.5
 # Share of its worth that a request risks at a target with one such unit.
 RISK_SHARE = 0.3
-# Share of its free memory that the engine which writes a prompt larger than one
-# engine's memory gives to it without a reservation.
+# Share of its free memory that the lead engine contributes, without a
+# reservation, to a prompt that exceeds the memory of one engine.
 LEAD_SHARE = 0.8
-# Cost of writing at an engine that has nothing in progress; with more it falls
-# to none at this share of its slots. The rest is for what peers place at the
-# same moment.
+# Cost of decoding at an engine without requests. It falls to zero when
+# PACKED_SHARE of the slots is taken; the rest is a reserve for concurrent
+# placements of peers.
 PACK_COST = 0.2
 PACKED_SHARE = 0.8
-# Cost of writing at an engine whose memory is full.
+# Cost of decoding at an engine whose memory is full.
 FULL_COST = 0.1
-# Engines in the same data centre are a millisecond nearer.
+# Gain of a lead engine in the same data centre.
 LOCAL_GAIN = 0.005
-# Memory kept free for what peers place at the same moment.
+# Memory reserved for concurrent placements of peers.
 MEMORY_SLACK_TOKENS = 4000
 
 
@@ -70,32 +67,36 @@
     *,
     may_lead: frozenset[str] | None = None,
 ) -> plans.Plan | None:
-    """Chooses the engine that writes and those that help it read.
+    """Chooses the lead engine and the helper engines of a prompt.
 
-    Every number of parts is tried with the engines that it harms least; the
-    cost is (parts x engines x log engines), so a caller with hundreds of
-    engines passes a sample.
+    Each number of parts is tried with the engines where the interference is
+    least. The complexity is O(parts * engines * log(engines)), so with
+    hundreds of engines a sample should be passed.
 
     Args:
         engine: Figures of the service's engines.
-        prompt: What is to be placed.
+        prompt: The prompt to be placed.
         candidates: The engines that may be used.
-        may_lead: Names of those that may get the request; None allows all.
+        may_lead: Names of the engines that may be the lead; None allows all.
 
     Returns:
         The plan with the least cost, or None if no engine has a free slot
         and memory.
     """
     need = prompt.tokens + prompt.answer_tokens
-    wide = need > engine.kv_tokens - MEMORY_SLACK_TOKENS
-    leads = [c for c in candidates if _has_room(engine, c, 0 if wide else need)]
+    needs_holds = need > engine.kv_tokens - MEMORY_SLACK_TOKENS
+    leads = [
+        c
+        for c in candidates
+        if _has_room(engine, c, 0 if needs_holds else need)
+    ]
     if may_lead is not None:
         leads = [c for c in leads if c.name in may_lead]
     if not leads:
         return None
     total_s = iterations.prefill_s(engine, prompt.tokens)
     times = {c.name: iterations.simulate(engine, c.load) for c in candidates}
-    known = {
+    decode_losses = {
         c.name: interference.decode_loss(c, times[c.name]) for c in candidates
     }
     best: plans.Plan | None = None
@@ -106,11 +107,11 @@
             leads,
             candidates,
             times,
-            known,
+            decode_losses,
             total_s / parts,
             parts,
         )
-        if plan is not None and wide:
+        if plan is not None and needs_holds:
             plan = _with_holds(engine, plan, candidates, need)
         if plan is not None and (best is None or plan.cost < best.cost):
             best = plan
@@ -122,18 +123,18 @@
     kept: frozenset[str],
     rng: random.Random,
 ) -> list[routing.TargetEntry]:
-    """Draws the targets that are looked at for a request.
+    """Draws the targets that are considered for a request.
 
-    Made for data centres with a thousand targets, where summing the work at
-    each of them costs an owner more than all the rest of a placement.
+    In a large data centre, summing the work at each target would cost a shard
+    owner more than the rest of the placement.
 
     Args:
-        targets: All that may be used.
-        kept: Names of those that must be among them.
-        rng: Source of the draw.
+        targets: All targets that may be used.
+        kept: Names of targets that must be in the sample.
+        rng: Source of randomness.
 
     Returns:
-        All targets if they are few, else MOST_DRAWN of them and those kept.
+        All targets if they are few, else MAX_DRAWN of them and those kept.
     """
     if len(targets) <= MAX_DRAWN:
         return targets
@@ -149,18 +150,17 @@
 def least_loaded(
     candidates: list[plans.Candidate], rng: random.Random
 ) -> list[plans.Candidate]:
-    """Picks the least busy of many engines.
+    """Returns the least loaded of many engines.
 
-    Made for fleets of fifty engines and more: each is weighed for each number
-    of parts, and while the process weighs it serves nobody. Equal ones are
-    drawn, so that instances differ.
+    Each engine is evaluated for each number of parts, which blocks the event
+    loop. Ties are broken at random, so that instances choose different ones.
 
     Args:
         candidates: The engines that may be used.
-        rng: Source of the draw.
+        rng: Source of randomness.
 
     Returns:
-        At most MOST_WEIGHED of them.
+        At most MAX_CANDIDATES engines.
     """
     if len(candidates) <= MAX_CANDIDATES:
         return candidates
@@ -170,29 +170,39 @@
 
 
 def _load(tgt: plans.Candidate) -> float:
-    reading_s = sum(r.prefill_s for r in tgt.load.prefills)
-    return tgt.penalty + tgt.load.requests / max(1, tgt.slots) + reading_s
+    prefill_s = sum(p.prefill_s for p in tgt.load.prefills)
+    return tgt.penalty + tgt.load.requests / max(1, tgt.slots) + prefill_s
 
 
 def is_refused(prompt: plans.Prompt, plan: plans.Plan) -> bool:
-    """Tells whether a prompt takes more from others than it is worth.
+    """Returns whether a prompt costs others more than it is worth.
 
-    Made for the largest prompts at a peak of short ones: reading 700,000
-    tokens takes 14 engines four seconds, in which every other caller waits.
-    Only prompts that would be late anyway are refused for it.
+    At a peak of short requests the longest prompts could block all engines for
+    seconds. Only prompts that would miss their objective anyway are refused.
+
+    Args:
+        prompt: The prompt.
+        plan: Its best plan.
     """
     limit = plans.worth(prompt.tokens) * REFUSE_COST_RATIO
-    late = plan.first_token_s > prompt.first_token_aim_s
-    return late and prompt.tokens > plans.LONG_TOKENS and plan.cost > limit
+    misses_objective = plan.first_token_s > prompt.first_token_aim_s
+    return (
+        misses_objective
+        and prompt.tokens > plans.LONG_TOKENS
+        and plan.cost > limit
+    )
 
 
 def _with_holds(
     engine: routing.EngineSpec, plan: plans.Plan, candidates, need: int
 ) -> plans.Plan | None:
-    """Divides the memory of a prompt among the engines that read it.
+    """Divides the memory of a prompt among its engines.
+
+    The lead engine holds what is not reserved elsewhere. Only a share of its
+    free memory is used, since others may place requests there meanwhile.
 
-    The engine that writes holds what no reservation takes, so it gets the
-    last share: what others place there meanwhile counts before it.
+    Returns:
+        The plan with its reservations, or None if the memory is not enough.
     """
     free = {c.name: _free_tokens(engine, c) for c in candidates}
     left = need - max(0, int(free[plan.lead] * LEAD_SHARE))
@@ -214,10 +224,10 @@
 
 
 def plan_service(candidates: list[plans.Candidate]) -> plans.Plan | None:
-    """Chooses a target of a plain service: the least loaded for its size.
+    """Chooses the target of a plain service with the least load per slot.
 
     Returns:
-        The plan, or None if there are no candidates.
+        The plan, or None without candidates.
     """
     if not candidates:
         return None
@@ -226,8 +236,8 @@
 
 
 def _service_cost(tgt: plans.Candidate) -> float:
-    # A caller waits for whole slots: below one request a slot targets are
-    # equal but for the way, above it the queue counts.
+    # The load is relative to the slots, since targets differ in size; a local
+    # one is preferred when loads are about equal.
     load = tgt.load.requests / max(1, tgt.slots)
     return load + tgt.penalty - (0.05 if tgt.is_local else 0.0)
 
@@ -241,26 +251,26 @@
 
 
 def _part_counts(total_s: float, candidates: int) -> list[int]:
-    """Lists the numbers of parts worth trying."""
-    most = min(MAX_HELPERS + 1, candidates)
-    # Parts shorter than a fifth of a pass gain less than they cost.
-    most = min(most, max(1, math.ceil(total_s / SHORTEST_PART_S)))
-    return [n for n in PART_COUNTS if n < most] + [most]
+    """Returns the numbers of parts to try."""
+    largest = min(MAX_HELPERS + 1, candidates)
+    # Parts much shorter than an iteration gain less than they cost.
+    largest = min(largest, max(1, math.ceil(total_s / SHORTEST_PART_S)))
+    return [n for n in PART_COUNTS if n < largest] + [largest]
 
 
 def _plan_parts(
-    engine, prompt, leads, candidates, times, known, part_s, parts
+    engine, prompt, leads, candidates, times, decode_losses, part_s, parts
 ) -> plans.Plan | None:
-    in_parts = parts > 1
+    is_split = parts > 1
     costs = {
         c.name: interference.prefill_interference(
-            c, times[c.name], known[c.name], part_s, in_parts
+            c, times[c.name], decode_losses[c.name], part_s, is_split
         )
         + c.penalty * PENALTY_COST
         for c in candidates
     }
     lead = min(leads, key=lambda c: costs[c.name] + _lead_cost(engine, c))
-    others = sorted(
+    helpers = sorted(
         (
             c
             for c in candidates
@@ -268,10 +278,10 @@
         ),
         key=lambda c: costs[c.name],
     )[: parts - 1]
-    if len(others) < parts - 1:
+    if len(helpers) < parts - 1:
         return None
-    chosen = [lead, *others]
-    first_s = _first_token(engine, prompt, lead, chosen, times, part_s)
+    chosen = [lead, *helpers]
+    first_s = _first_token_s(engine, prompt, lead, chosen, times, part_s)
     cost = sum(costs[c.name] for c in chosen)
     at_risk = PENALTY_COST * plans.worth(prompt.tokens) * RISK_SHARE
     cost += at_risk * sum(c.penalty for c in chosen)
@@ -281,41 +291,44 @@
         engine, candidates, chosen, times, part_s
     )
     cost += PART_COST * (parts - 1)
-    names = tuple(c.name for c in others)
+    names = tuple(c.name for c in helpers)
     return plans.Plan(lead.name, names, part_s, first_s, cost)
 
 
-def _first_token(engine, prompt, lead, chosen, times, part_s) -> float:
-    """Predicts the time to the first token, waiting until now included."""
-    in_parts = len(chosen) > 1
-    ready = max(_ready(c, times[c.name], part_s, in_parts) for c in chosen)
-    own = iterations.iteration_s(
+def _first_token_s(engine, prompt, lead, chosen, times, part_s) -> float:
+    """Predicts the time to the first token since the request arrived."""
+    is_split = len(chosen) > 1
+    prefill_end_s = max(
+        _prefill_end_s(c, times[c.name], part_s, is_split) for c in chosen
+    )
+    first_iteration_s = iterations.iteration_s(
         engine,
         len(lead.load.decodes) + 1,
         lead.load.context + prompt.tokens // len(chosen),
     )
-    return prompt.waited_s + ready + own
+    return prompt.waited_s + prefill_end_s + first_iteration_s
 
 
-def _ready(
+def _prefill_end_s(
     tgt: plans.Candidate,
     time: iterations.Timeline,
     part_s: float,
-    in_parts: bool,
+    is_split: bool,
 ) -> float:
-    """Predicts when a target has read a part that is sent now."""
+    """Predicts the time until a target has prefilled a part sent now."""
     if tgt.load.decodes:
         return time.iteration_left_s + time.queued_prefill_s + part_s
-    return part_s if in_parts else time.prefill_left_s + part_s
+    return part_s if is_split else time.prefill_left_s + part_s
 
 
 def _lead_cost(engine: routing.EngineSpec, tgt: plans.Candidate) -> float:
-    """Gathers answers on few engines, so that others are free to read.
+    """Returns the cost of decoding at an engine.
 
-    Made for short answers that are written nearly everywhere: each long part
-    then stood in somebody's answer. A writer more hardly slows a pass.
+    Engines that already decode are preferred, so that others stay free for
+    long prefills: one more decode hardly lengthens an iteration, while a
+    prefill beside any decode interrupts it.
     """
-    taken = tgt.load.requests / (max(1, engine.slots) * PACKED_SHARE)
+    packed = tgt.load.requests / (max(1, engine.slots) * PACKED_SHARE)
     full = tgt.load.tokens / engine.kv_tokens
-    cost = PACK_COST * (1.0 - min(1.0, taken)) + FULL_COST * full
+    cost = PACK_COST * (1.0 - min(1.0, packed)) + FULL_COST * full
     return cost - (LOCAL_GAIN if tgt.is_local else 0.0)
--- a/copperloom/decisions/spillover.py
+++ b/copperloom/decisions/spillover.py
@@ -1,9 +1,9 @@
-"""When a request goes to the targets of another data centre.
+"""Decides whether a request spills over to another data centre.
 
-Made for seconds in which one data centre has more callers than its engines
-have slots, while others have room. Requests that wait for a slot come late; the
-way to another data centre is a millisecond. Long prompts go too: where engines
-read for seconds already, a further one makes all late.
+When a data centre has more requests than its engines have slots, a request
+that waits for a slot misses its objective, while the detour to a data centre
+with capacity is short. This holds for long prompts as well: beside other long
+prefills, a further one would make all miss their objectives.
 """
 
 import dataclasses
@@ -14,11 +14,11 @@
 
 __all__ = ["RemoteShard", "utilisation", "choose_remote"]
 
-# Above this share of what a shard can take, requests look elsewhere before
-# they come late.
+# Utilisation of a shard above which requests spill over before they miss their
+# objectives.
 SPILL_ABOVE = 0.8
-# What is known of another data centre is a second old; it must be less busy by
-# so much.
+# Difference in utilisation that justifies a spill-over: the figures of other
+# data centres are slightly out of date.
 MIN_GAIN = 0.2
 
 
@@ -27,10 +27,10 @@
     """Another data centre's shard of a service.
 
     Attributes:
-        data_centre: Its name.
-        owner: The owner to ask there.
-        address: IP:port of the owner for datagrams.
-        busy: How busy it is, as `utilisation` says.
+        data_centre: Name of the data centre.
+        owner: Name of the shard owner there.
+        address: IP:port at which the owner receives datagrams.
+        busy: Utilisation of the shard, see `utilisation`.
     """
 
     data_centre: str
@@ -40,21 +40,21 @@
 
 
 def utilisation(candidates: Iterable[plans.Candidate]) -> float:
-    """Returns how busy targets are: 1 when all slots are taken.
+    """Returns the utilisation of targets; 1 if all slots are taken.
 
-    Reading counts as well, since engines that read for a second serve nobody
-    else in time.
+    The mean prefill time in seconds is added, since an engine with a long
+    prefill can't meet the objectives of other requests.
     """
     taken = slots = count = 0
-    reading_s = 0.0
+    prefill_s = 0.0
     for candidate in candidates:
         count += 1
         taken += candidate.load.requests
         slots += candidate.slots
-        reading_s += sum(r.prefill_s for r in candidate.load.prefills)
+        prefill_s += sum(p.prefill_s for p in candidate.load.prefills)
     if not count:
         return 1.0
-    return taken / max(1, slots) + reading_s / count
+    return taken / max(1, slots) + prefill_s / count
 
 
 def choose_remote(
@@ -64,26 +64,28 @@
     others: Sequence[RemoteShard],
     rng: random.Random,
 ) -> RemoteShard | None:
-    """Returns the other place to ask, if the request should not stay.
+    """Returns the remote shard that should place the request, if any.
+
+    The better of two random shards is taken: it is nearly the best, and
+    concurrent requests don't all go to the same one.
 
     Args:
-        chosen: What would become of it here.
-        prompt: Its prompt, if it has one.
-        busy: How busy the shard is.
+        chosen: The outcome in this data centre.
+        prompt: The prompt of the request; None for plain services.
+        busy: Utilisation of this data centre's shard.
         others: The other shards of the service.
-        rng: Source of the draw: the better of two is nearly the best, and does
-            not draw all that leave at the same moment.
+        rng: Source of randomness.
     """
-    if busy < SPILL_ABOVE and _is_in_time(chosen, prompt):
+    if busy < SPILL_ABOVE and _meets_objective(chosen, prompt):
         return None
     drawn = rng.sample(others, min(2, len(others)))
-    best = min(drawn, key=lambda place: place.busy, default=None)
+    best = min(drawn, key=lambda shard: shard.busy, default=None)
     if best is None or best.busy > busy - MIN_GAIN:
         return None
     return best
 
 
-def _is_in_time(chosen: plans.Choice, prompt: plans.Prompt | None) -> bool:
+def _meets_objective(chosen: plans.Choice, prompt: plans.Prompt | None) -> bool:
     if not isinstance(chosen, plans.Plan):
         return False
     return prompt is None or chosen.first_token_s <= prompt.first_token_aim_s
--- a/copperloom/decisions/timeouts.py
+++ b/copperloom/decisions/timeouts.py
@@ -1,51 +1,52 @@
-"""How long a stream may keep silent: for its caller, and before it is repeated.
+"""Timeouts of silent streams: until a repeat, and until the caller leaves.
 
-When callers leave is as the platform states for all of them.
+The time after which callers leave is specified by the platform.
 """
 
 __all__ = ["first_event_timeout_s", "abandon_after_s"]
 
-# A caller leaves a stream that shows nothing for this time, or for so many
-# times its objective or accepted pause, whichever is longest.
+# A caller abandons a stream after a silence of ABANDON_S seconds or of these
+# multiples of its first-token or inter-token objective, whichever is longest.
 ABANDON_S = 2.0
 ABANDON_OBJECTIVES = 4.0
 ABANDON_PAUSES = 8.0
-# Patience for the first event: what was predicted, with room for what came in
-# between. Short streams' callers leave after two seconds.
+# Timeout of the first event: a multiple of the predicted time, with slack for
+# work that has arrived since.
 FIRST_SLACK_S = 1.0
 FIRST_FACTOR = 3.0
-# Least patience where a repeat would still be in time: below it a target that
-# is only slow would be given up, and its reading be done twice.
+# Lower bound of the timeout that lets a repeat meet the objective. A shorter
+# one would repeat prefills of targets that are merely slow.
 SOON_SLACK_S = 0.5
 SOON_FACTOR = 1.5
-# A repeat takes what the first try was predicted to take, and the way.
+# Predicted time of a repeat, network included, relative to the first attempt.
 REPEAT_FACTOR = 1.2
 
 
 def first_event_timeout_s(predicted_s: float, left_s: float) -> float:
-    """Returns how long a target may keep silent before it is given up.
+    """Returns the timeout of a stream's first event, in seconds.
 
-    Made for seconds in which many engines lose answers: a prompt of 300,000
-    tokens that several engines read in one second waited for four, its whole
-    objective, before it was repeated.
+    If possible, the timeout leaves enough time for a repeat at another target
+    within the objective.
 
     Args:
-        predicted_s: Predicted time to the first event.
-        left_s: Time left until the first event is late.
+        predicted_s: Predicted time to the first event, in seconds.
+        left_s: Time left until the first event misses its objective, in
+            seconds.
     """
-    patience_s = FIRST_SLACK_S + FIRST_FACTOR * predicted_s
-    in_time_s = left_s - REPEAT_FACTOR * predicted_s
-    if in_time_s < SOON_SLACK_S + SOON_FACTOR * predicted_s:
-        return patience_s
-    return min(patience_s, in_time_s)
+    timeout_s = FIRST_SLACK_S + FIRST_FACTOR * predicted_s
+    repeat_by_s = left_s - REPEAT_FACTOR * predicted_s
+    if repeat_by_s < SOON_SLACK_S + SOON_FACTOR * predicted_s:
+        return timeout_s
+    return min(timeout_s, repeat_by_s)
 
 
 def abandon_after_s(objective_s: float, pause_aim_s: float) -> float:
     """Returns the silence after which a caller leaves, in seconds.
 
     Args:
-        objective_s: Within which the first event should come; 0 if it has.
-        pause_aim_s: Longest pause that the caller accepts.
+        objective_s: First-token objective, in seconds; 0 once the first event
+            has come.
+        pause_aim_s: Inter-token objective, in seconds.
     """
     return max(
         ABANDON_S,
