--- a/copperloom/decisions/tests/test_cold.py
+++ b/copperloom/decisions/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""A fleet of which nothing is known yet refuses nothing for a guess."""
+"""Admission before anything is known of a fleet's performance."""
 
 import unittest
 
@@ -38,46 +38,41 @@
     )
 
 
-def say_memory(sched: scheduler.Scheduler, tokens: int) -> None:
+def report_memory(sched: scheduler.Scheduler, tokens: int) -> None:
     for name in sched.targets:
         report = interface.LoadReport("b", 0, tokens, 0, 0, 0, 0.0)
         scheduler.report(sched, name, report, 0.0)
 
 
 class MemoryTest(unittest.TestCase):
-    def test_engines_smaller_than_configured(self):
-        """Operators set more memory than the engines have.
-
-        The engines would refuse the prompt each time it is sent, so its
-        caller would wait for its whole time limit to be told nothing new.
-        """
+    def test_reported_memory_below_the_configured_is_used(self):
+        """Engines would reject the prompt until its caller times out."""
         sched = cold_scheduler()
-        say_memory(sched, 20_000)
+        report_memory(sched, 20_000)
         refusal = scheduler.offer(sched, request(300_000, 100), 0.0)
         self.assertEqual(refusal.error, "PromptTooLargeError")
 
-    def test_engine_can_not_raise_what_operators_set(self):
+    def test_reported_memory_above_the_configured_is_ignored(self):
         sched = cold_scheduler()
-        say_memory(sched, 10_000_000)
+        report_memory(sched, 10_000_000)
         refusal = scheduler.offer(sched, request(5_000_000, 100), 0.0)
         self.assertEqual(refusal.error, "PromptTooLargeError")
 
 
-class ColdTest(unittest.TestCase):
-    def placed(self, req: messages.Request) -> None:
+class ColdFleetTest(unittest.TestCase):
+    def assert_placed(self, req: messages.Request) -> None:
         sched = cold_scheduler()
         self.assertIsNone(scheduler.offer(sched, req, 0.0))
         (decision,) = scheduler.dispatch(sched, 0.0)
         self.assertIsInstance(decision, messages.Placement)
 
-    def test_large_bound_of_answer_tokens(self):
-        """Clients set max_tokens high; few answers reach it.
+    def test_large_max_tokens_does_not_cause_a_refusal(self):
+        """Clients set high limits that few answers reach.
 
-        Counting it as the answer's length, an idle fleet refused a question
-        of ten tokens for its bound of 60,000 at once.
+        As an estimate of the answer's length, they would cause refusals even
+        at an idle fleet.
         """
-        self.placed(request(10, 60_000))
+        self.assert_placed(request(10, 60_000))
 
-    def test_long_prompt(self):
-        """How fast these engines take prompts is not known yet."""
-        self.placed(request(300_000, 100))
+    def test_long_prompt_is_placed_without_a_known_prefill_rate(self):
+        self.assert_placed(request(300_000, 100))
--- a/copperloom/decisions/tests/test_decode_rate.py
+++ b/copperloom/decisions/tests/test_decode_rate.py
@@ -1,4 +1,4 @@
-"""Slow engines are told from busy ones."""
+"""Slow engines are distinguished from busy ones."""
 
 import unittest
 
@@ -6,30 +6,30 @@
 from copperloom.decisions.tests.test_planner import ENGINE
 
 _IDLE_S = iterations.iteration_s(ENGINE, 1, 5000)
-_READING_S = 0.14
+_PREFILL_S = 0.14
 
 
-def _seen(pauses) -> list[bool]:
-    stream = decode_rate.RecentPauses()
+def _detections(gaps) -> list[bool]:
+    recent = decode_rate.RecentPauses()
     found = []
-    for pause_s in pauses:
-        decode_rate.record_pause(stream, pause_s)
-        found.append(decode_rate.is_slow(stream, ENGINE, 5000))
+    for gap_s in gaps:
+        decode_rate.record_pause(recent, gap_s)
+        found.append(decode_rate.is_slow(recent, ENGINE, 5000))
     return found
 
 
-class PaceTest(unittest.TestCase):
-    def test_engine_that_works_four_times_as_long(self):
-        """All pauses grow; the third one tells, and it is told on and on."""
-        seen = _seen([4 * _IDLE_S] * 6)
-        self.assertEqual(seen, [False, False, True, False, False, True])
+class DecodeRateTest(unittest.TestCase):
+    def test_engine_at_a_quarter_of_its_speed_is_slow(self):
+        """A detection must be repeated while the engine stays slow."""
+        detected = _detections([4 * _IDLE_S] * 6)
+        self.assertEqual(detected, [False, False, True, False, False, True])
 
-    def test_readings_beside_an_answer(self):
-        busy = [_IDLE_S + _READING_S, _IDLE_S, _IDLE_S + _READING_S]
-        self.assertNotIn(True, _seen(busy * 4))
+    def test_prefills_beside_an_answer_are_not_slow(self):
+        gaps = [_IDLE_S + _PREFILL_S, _IDLE_S, _IDLE_S + _PREFILL_S]
+        self.assertNotIn(True, _detections(gaps * 4))
 
-    def test_full_engine(self):
+    def test_full_engine_is_not_slow(self):
         full_s = iterations.iteration_s(
             ENGINE, ENGINE.slots, ENGINE.kv_tokens // 4
         )
-        self.assertNotIn(True, _seen([full_s] * 10))
+        self.assertNotIn(True, _detections([full_s] * 10))
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -1,4 +1,4 @@
-"""Work in progress of all instances, budget, health and registry."""
+"""In-flight table, retry budget, target health and registry."""
 
 import unittest
 
@@ -12,151 +12,168 @@
 )
 
 
-def _work(target: str = "e0", begun: float = 0.0, **changes) -> inflight.Work:
-    given = {
+def _work(
+    target: str = "e0", started_at: float = 0.0, **changes
+) -> inflight.Work:
+    defaults = {
         "prefill_s": 0.5,
         "generates": True,
         "tokens": 1000,
         "pause_aim_s": 0.25,
     }
-    return inflight.Work(target=target, started_at=begun, **given | changes)
+    return inflight.Work(
+        target=target, started_at=started_at, **defaults | changes
+    )
 
 
-def _told(sequence: int = 1, boot: str = "a", at: float = 0.0, *work):
+def _report(sequence: int = 1, boot: str = "a", at: float = 0.0, *work):
     return inflight_table.PeerWork(boot, sequence, at, work)
 
 
-class BoardTest(unittest.TestCase):
-    def test_own_and_peers_work_add_up(self):
-        b = inflight_table.InflightTable()
+class InflightTableTest(unittest.TestCase):
+    def test_loads_add_own_work_and_that_of_peers(self):
+        table = inflight_table.InflightTable()
         inflight_table.begin(
-            b, "q1", [_work(), _work("e1", generates=False, tokens=0)]
+            table, "q1", [_work(), _work("e1", generates=False, tokens=0)]
         )
-        inflight_table.apply_update(b, "peer", _told(1, "a", 0.0, _work()))
-        loads = inflight_table.loads(b, 0.1)
+        inflight_table.apply_update(
+            table, "peer", _report(1, "a", 0.0, _work())
+        )
+        loads = inflight_table.loads(table, 0.1)
         self.assertEqual(loads["e0"].requests, 2)
         self.assertEqual(loads["e0"].tokens, 2000)
         self.assertEqual(loads["e1"].parts, 1)
 
-    def test_first_token_ends_the_parts(self):
-        b = inflight_table.InflightTable()
+    def test_first_token_ends_prefill_of_parts(self):
+        table = inflight_table.InflightTable()
         inflight_table.begin(
-            b, "q1", [_work(), _work("e1", generates=False, tokens=0)]
+            table, "q1", [_work(), _work("e1", generates=False, tokens=0)]
         )
-        inflight_table.mark_decoding(b, "q1")
-        loads = inflight_table.loads(b, 0.1)
+        inflight_table.mark_decoding(table, "q1")
+        loads = inflight_table.loads(table, 0.1)
         self.assertNotIn("e1", loads)
         self.assertEqual(len(loads["e0"].decodes), 1)
         self.assertEqual(loads["e0"].prefills, ())
 
-    def test_silent_peer_fades(self):
-        """A peer dies; its work must not keep targets unused for ever."""
-        b = inflight_table.InflightTable()
-        inflight_table.apply_update(b, "peer", _told(1, "a", 0.0, _work()))
-        self.assertIn("e0", inflight_table.loads(b, 1.0))
+    def test_work_of_silent_peer_expires(self):
+        """A dead peer's work would keep targets unused forever."""
+        table = inflight_table.InflightTable()
+        inflight_table.apply_update(
+            table, "peer", _report(1, "a", 0.0, _work())
+        )
+        self.assertIn("e0", inflight_table.loads(table, 1.0))
         self.assertNotIn(
-            "e0", inflight_table.loads(b, inflight_table.PEER_TIMEOUT_S + 0.1)
+            "e0",
+            inflight_table.loads(table, inflight_table.PEER_TIMEOUT_S + 0.1),
         )
 
-    def test_late_message_changes_nothing(self):
-        b = inflight_table.InflightTable()
-        inflight_table.apply_update(b, "peer", _told(5, "a", 0.0))
+    def test_older_report_is_ignored(self):
+        table = inflight_table.InflightTable()
+        inflight_table.apply_update(table, "peer", _report(5, "a", 0.0))
         self.assertFalse(
-            inflight_table.apply_update(b, "peer", _told(4, "a", 0.1, _work()))
+            inflight_table.apply_update(
+                table, "peer", _report(4, "a", 0.1, _work())
+            )
         )
-        self.assertEqual(inflight_table.loads(b, 0.1), {})
+        self.assertEqual(inflight_table.loads(table, 0.1), {})
 
-    def test_new_boot_replaces_the_old_ones_work(self):
-        b = inflight_table.InflightTable()
-        inflight_table.apply_update(b, "peer", _told(900, "a", 0.0, _work()))
+    def test_report_of_new_boot_replaces_earlier_work(self):
+        table = inflight_table.InflightTable()
+        inflight_table.apply_update(
+            table, "peer", _report(900, "a", 0.0, _work())
+        )
         self.assertTrue(
-            inflight_table.apply_update(b, "peer", _told(1, "b", 0.1))
+            inflight_table.apply_update(table, "peer", _report(1, "b", 0.1))
         )
-        self.assertEqual(inflight_table.loads(b, 0.1), {})
+        self.assertEqual(inflight_table.loads(table, 0.1), {})
 
-    def test_target_that_started_again_has_nothing(self):
-        b = inflight_table.InflightTable()
+    def test_restarted_target_has_no_work_of_peers(self):
+        table = inflight_table.InflightTable()
         inflight_table.apply_update(
-            b, "peer", _told(1, "a", 0.0, _work(), _work("e1"))
+            table, "peer", _report(1, "a", 0.0, _work(), _work("e1"))
         )
-        inflight_table.drop_target(b, "e0")
-        self.assertEqual(set(inflight_table.loads(b, 0.1)), {"e1"})
-
-    def test_holders_of_memory_write_too(self):
-        b = inflight_table.InflightTable()
-        inflight_table.begin(b, "q1", [_work(), _work("e1", generates=False)])
-        inflight_table.mark_decoding(b, "q1")
-        self.assertEqual(len(inflight_table.loads(b, 0.1)["e1"].decodes), 1)
-
-    def test_placement_for_a_peer_counts_until_it_tells(self):
-        """Two peers ask for a place within the time of a message."""
-        b = inflight_table.InflightTable()
-        inflight_table.apply_update(b, "peer", _told(3, "a", 0.0))
-        inflight_table.add_pending(b, "peer", "q1", 3, [_work()], 0.0)
-        self.assertEqual(inflight_table.loads(b, 0.1)["e0"].requests, 1)
-        inflight_table.apply_update(b, "peer", _told(4, "a", 0.1, _work()))
-        self.assertEqual(inflight_table.loads(b, 0.1)["e0"].requests, 1)
-        inflight_table.apply_update(b, "peer", _told(5, "a", 0.2))
-        self.assertEqual(inflight_table.loads(b, 0.2), {})
-
-    def test_placement_that_nobody_takes_up_fades(self):
-        """The peer asked another owner meanwhile, or died."""
-        b = inflight_table.InflightTable()
-        inflight_table.add_pending(b, "peer", "q1", 3, [_work()], 0.0)
+        inflight_table.drop_target(table, "e0")
+        self.assertEqual(set(inflight_table.loads(table, 0.1)), {"e1"})
+
+    def test_engine_that_holds_memory_counts_as_decoding(self):
+        table = inflight_table.InflightTable()
+        inflight_table.begin(
+            table, "q1", [_work(), _work("e1", generates=False)]
+        )
+        inflight_table.mark_decoding(table, "q1")
+        self.assertEqual(len(inflight_table.loads(table, 0.1)["e1"].decodes), 1)
+
+    def test_pending_placement_counts_until_the_peer_reports(self):
+        """Two queries before the peer's report could get the same slot."""
+        table = inflight_table.InflightTable()
+        inflight_table.apply_update(table, "peer", _report(3, "a", 0.0))
+        inflight_table.add_pending(table, "peer", "q1", 3, [_work()], 0.0)
+        self.assertEqual(inflight_table.loads(table, 0.1)["e0"].requests, 1)
+        inflight_table.apply_update(
+            table, "peer", _report(4, "a", 0.1, _work())
+        )
+        self.assertEqual(inflight_table.loads(table, 0.1)["e0"].requests, 1)
+        inflight_table.apply_update(table, "peer", _report(5, "a", 0.2))
+        self.assertEqual(inflight_table.loads(table, 0.2), {})
+
+    def test_pending_placement_without_report_expires(self):
+        """The peer has died or used another owner's reply."""
+        table = inflight_table.InflightTable()
+        inflight_table.add_pending(table, "peer", "q1", 3, [_work()], 0.0)
         self.assertEqual(
-            inflight_table.loads(b, inflight_table.PENDING_S + 0.1), {}
+            inflight_table.loads(table, inflight_table.PENDING_S + 0.1), {}
         )
-        inflight_table.drop_silent_peers(b, inflight_table.PENDING_S + 0.1)
-        self.assertEqual(b.by_target, {})
+        inflight_table.drop_silent_peers(table, inflight_table.PENDING_S + 0.1)
+        self.assertEqual(table.by_target, {})
 
-    def test_sums_are_kept_as_work_changes(self):
-        """Many changes of own and others' work leave nothing behind."""
-        b = inflight_table.InflightTable()
+    def test_no_entries_remain_after_many_changes(self):
+        """Entries left behind would count as work forever."""
+        table = inflight_table.InflightTable()
         for n in range(50):
             inflight_table.begin(
-                b, f"q{n % 5}", [_work(f"e{n % 3}"), _work("e4")]
+                table, f"q{n % 5}", [_work(f"e{n % 3}"), _work("e4")]
             )
-            told = _told(n, "a", n * 0.01, _work(f"e{n % 4}"), _work("e4"))
-            inflight_table.apply_update(b, f"peer-{n % 2}", told)
-            inflight_table.mark_decoding(b, f"q{n % 4}")
-            inflight_table.drop_target(b, f"e{n % 7}")
+            report = _report(n, "a", n * 0.01, _work(f"e{n % 4}"), _work("e4"))
+            inflight_table.apply_update(table, f"peer-{n % 2}", report)
+            inflight_table.mark_decoding(table, f"q{n % 4}")
+            inflight_table.drop_target(table, f"e{n % 7}")
         for n in range(5):
-            inflight_table.end(b, f"q{n}")
-        inflight_table.drop_silent_peers(b, 100.0)
-        self.assertEqual(b.by_target, {})
-        self.assertEqual(b.peers, {})
-
-    def test_only_the_targets_asked_for_are_summed(self):
-        b = inflight_table.InflightTable()
-        inflight_table.begin(b, "q1", [_work("e0"), _work("e1")])
+            inflight_table.end(table, f"q{n}")
+        inflight_table.drop_silent_peers(table, 100.0)
+        self.assertEqual(table.by_target, {})
+        self.assertEqual(table.peers, {})
+
+    def test_only_requested_targets_are_summed(self):
+        table = inflight_table.InflightTable()
+        inflight_table.begin(table, "q1", [_work("e0"), _work("e1")])
         self.assertEqual(
-            set(inflight_table.loads(b, 0.1, ["e1", "e2"])), {"e1"}
+            set(inflight_table.loads(table, 0.1, ["e1", "e2"])), {"e1"}
         )
 
 
 class BudgetTest(unittest.TestCase):
     def test_nine_instances_stay_within_the_bound(self):
-        """Every request of every instance fails and wants a repeat."""
-        terms = budget.BudgetPolicy(ratio=0.2, window_s=10.0, slack=106)
-        own = [budget.Budget(terms) for _ in range(9)]
+        """Repeats of all failed requests would multiply an overload."""
+        policy = budget.BudgetPolicy(ratio=0.2, window_s=10.0, slack=106)
+        budgets = [budget.Budget(policy) for _ in range(9)]
         requests = repeats = 0
         for step in range(100):
             now = step * 0.1
-            for b in own:
+            for b in budgets:
                 budget.record_request(b, "s", now)
                 requests += 1
-                repeats += budget.spend(b, "s", now, len(own))
+                repeats += budget.spend(b, "s", now, len(budgets))
         self.assertLessEqual(repeats, 0.2 * requests + 106)
         self.assertGreater(repeats, 0.2 * requests)
 
-    def test_window_slides(self):
+    def test_spending_is_bounded_within_a_sliding_window(self):
         b = budget.Budget(budget.BudgetPolicy(0.0, 10.0, 10))
         spent = [budget.spend(b, "s", 0.0, 1) for _ in range(10)]
         self.assertEqual(sum(spent), 7)
         self.assertFalse(budget.spend(b, "s", 9.9, 1))
         self.assertTrue(budget.spend(b, "s", 10.1, 1))
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_services_have_separate_budgets(self):
         b = budget.Budget(budget.BudgetPolicy(0.0, 10.0, 2))
         self.assertTrue(budget.spend(b, "s", 0.0, 1))
         self.assertFalse(budget.spend(b, "s", 0.0, 1))
@@ -164,38 +181,38 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_failures_fade_and_answers_forgive(self):
-        known = health.Health()
-        health.record_failure(known, 0.0, health.UNREACHABLE)
-        self.assertAlmostEqual(health.penalty(known, 0.0), 3.0)
-        self.assertAlmostEqual(health.penalty(known, health.HALF_LIFE_S), 1.5)
-        health.record_success(known, 0.0)
-        self.assertLess(health.penalty(known, 0.0), 1.5)
-
-    def test_nothing_known(self):
+    def test_penalty_decays_and_drops_after_a_success(self):
+        state = health.Health()
+        health.record_failure(state, 0.0, health.UNREACHABLE)
+        self.assertAlmostEqual(health.penalty(state, 0.0), 3.0)
+        self.assertAlmostEqual(health.penalty(state, health.HALF_LIFE_S), 1.5)
+        health.record_success(state, 0.0)
+        self.assertLess(health.penalty(state, 0.0), 1.5)
+
+    def test_unknown_target_has_no_penalty(self):
         self.assertEqual(health.penalty(None, 5.0), 0.0)
 
 
 def _entry(name: str = "t", **changes) -> routing.TargetEntry:
-    given = {
+    defaults = {
         "service": "s",
         "address": "127.0.0.1:1",
         "data_centre": "a",
         "slots": 1,
     }
-    return routing.TargetEntry(name=name, **given | changes)
+    return routing.TargetEntry(name=name, **defaults | changes)
 
 
 class RegistryTest(unittest.TestCase):
-    def test_removal_in_calm_is_at_once(self):
+    def test_removal_without_outage_is_immediate(self):
         reg = registry.Registry()
         registry.update(reg, [("t", _entry())], 1, 0.0)
         registry.update(reg, [("t", None)], 2, 1.0)
         self.assertEqual(registry.usable(reg, "s", 1.0), [])
         self.assertIsNone(registry.find(reg, "t"))
 
-    def test_lapse_after_an_outage_is_bridged(self):
-        """The table was away; all entries lapsed and come back within 2 s."""
+    def test_entries_outlast_their_expiry_after_an_outage(self):
+        """Targets register again only some time after an outage."""
         reg = registry.Registry()
         registry.update(reg, [("t", _entry())], 1, 0.0)
         registry.record_outage(reg, 10.0)
@@ -205,32 +222,34 @@
         registry.update(reg, [("t", _entry())], 3, 12.2)
         self.assertEqual(registry.usable(reg, "s", 12.2), [_entry()])
 
-    def test_present_targets_go_before_missing_ones(self):
+    def test_registered_targets_precede_missing_ones(self):
         reg = registry.Registry()
-        pair = [("t", _entry()), ("u", _entry("u"))]
-        registry.update(reg, pair, 1, 0.0)
+        entries = [("t", _entry()), ("u", _entry("u"))]
+        registry.update(reg, entries, 1, 0.0)
         registry.record_outage(reg, 10.0)
         registry.update(reg, [("t", None)], 2, 10.1)
         self.assertEqual(registry.usable(reg, "s", 10.2), [_entry("u")])
 
-    def test_draining_target_that_vanishes_is_gone(self):
+    def test_draining_target_is_not_kept_after_an_outage(self):
         reg = registry.Registry()
         registry.update(reg, [("t", _entry(draining=True))], 1, 0.0)
         registry.record_outage(reg, 10.0)
         registry.update(reg, [("t", None)], 2, 10.1)
         self.assertEqual(registry.usable(reg, "s", 10.2), [])
 
-    def test_older_table_changes_nothing(self):
+    def test_older_version_of_the_table_is_ignored(self):
         reg = registry.Registry()
         registry.replace(reg, [_entry()], 9, 0.0)
         registry.replace(reg, [], 8, 0.1)
         self.assertEqual(registry.usable(reg, "s", 0.2), [_entry()])
 
-    def test_later_start_is_told(self):
+    def test_update_returns_restarted_targets(self):
         reg = registry.Registry()
         registry.update(reg, [("t", _entry(born_ms=1))], 1, 0.0)
-        again = _entry(born_ms=2)
-        self.assertEqual(registry.update(reg, [("t", again)], 2, 0.1), [again])
-        late = [("t", _entry(born_ms=1))]
-        self.assertEqual(registry.update(reg, late, 3, 0.2), [])
-        self.assertEqual(reg.entries["t"], again)
+        restarted = _entry(born_ms=2)
+        self.assertEqual(
+            registry.update(reg, [("t", restarted)], 2, 0.1), [restarted]
+        )
+        older = [("t", _entry(born_ms=1))]
+        self.assertEqual(registry.update(reg, older, 3, 0.2), [])
+        self.assertEqual(reg.entries["t"], restarted)
