--- a/copperloom/decisions/tests/ablation.py
+++ b/copperloom/decisions/tests/ablation.py
@@ -1,12 +1,12 @@
-"""Compares policies and mechanisms on the fake engines.
+"""Compares policies and mechanisms on simulated engines.
 
     python -m copperloom.decisions.tests.ablation [SCENARIO...] [=VARIANT...]
 
 Prints the medians of three seeds for each policy, and for copperloom with each
-mechanism switched off alone; a variant, as "=copperloom -pools", picks some.
-"slowdown p99" is that of a short answer's whole time over the same seed
-without long work, an answer that is late counting as infinite; "small" are
-all organisations but the largest.
+single mechanism disabled. Variants such as "=copperloom -pools" select some of
+these. "slowdown p99" relates the total time of short answers to that in a run
+without long requests, where late answers count as infinite; "small" are all
+organisations except the largest.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """A load, its mix and its faults."""
+    """A load, its mix of requests and the faults of its engines."""
 
     load: float
     entries: int = 3
@@ -84,7 +84,7 @@
         objective=scenario.objective,
         max_queue_wait_s=scenario.max_queue_wait_s,
     )
-    made = world.World(
+    simulated = world.World(
         count=COUNT,
         entries=scenario.entries,
         seed=seed,
@@ -95,13 +95,13 @@
         **options,
     )
     for name in scenario.down:
-        made.engines[name].down = True
-    return made, made.run(reqs, SECONDS + DRAIN_S)
+        simulated.engines[name].down = True
+    return simulated, simulated.run(reqs, SECONDS + DRAIN_S)
 
 
 def measure(scenario, seed, **options):
-    """Returns the figures of one run."""
-    made, outcomes = play(scenario, seed, **options)
+    """Returns the statistics of one run."""
+    simulated, outcomes = play(scenario, seed, **options)
     summary = callers.summarise(outcomes, since=SETTLE_S)
     small = [o for o in outcomes if o.request.organisation != "o0" and o.short]
     small = [o for o in small if o.request.arrived >= SETTLE_S]
@@ -119,28 +119,34 @@
         "small ok": len(answered) / max(1, len(small)),
         "long ok": summary.long_answered,
         "goodput": summary.goodput,
-        "denied": made.denied,
-        "unreachable": made.unreachable,
+        "denied": simulated.denied,
+        "unreachable": simulated.unreachable,
         "slowest refusal": summary.slowest_refusal_s,
         "lost": summary.lost,
     }
 
 
 def slowdown(outcomes, alone, q=0.99):
-    """Returns a quantile of short answers' times over those without long."""
-    base = {o.request.id: o.total_s for o in alone if not o.error}
+    """Returns a quantile of the slowdown of short answers by long requests.
+
+    Args:
+        outcomes: The outcomes with long requests.
+        alone: The outcomes without them.
+        q: The quantile.
+    """
+    baseline = {o.request.id: o.total_s for o in alone if not o.error}
     return callers.quantile(
         [
-            o.total_s / base[o.request.id]
+            o.total_s / baseline[o.request.id]
             for o in outcomes
-            if o.request.id in base and o.request.arrived >= SETTLE_S
+            if o.request.id in baseline and o.request.arrived >= SETTLE_S
         ],
         q,
     )
 
 
 def main(names):
-    only = [n[1:] for n in names if n.startswith("=")]
+    selected = [n[1:] for n in names if n.startswith("=")]
     names = [n for n in names if not n.startswith("=")]
     variants = [(p, frozenset()) for p in policies.POLICIES]
     variants += [
@@ -149,7 +155,7 @@
     for name in names or SCENARIOS:
         print(f"\n{name}: {SCENARIOS[name]}")
         for policy, disable in variants:
-            if only and " -".join([policy, *disable]) not in only:
+            if selected and " -".join([policy, *disable]) not in selected:
                 continue
             runs = [
                 measure(SCENARIOS[name], s, policy=policy, disable=disable)
@@ -158,8 +164,8 @@
             label = " -".join([policy, *disable])
             cells = [f"{label:24s}"]
             for key in runs[0]:
-                middle = sorted(r[key] for r in runs)[len(runs) // 2]
-                cells.append(f"{key} {middle:.3g}")
+                median = sorted(r[key] for r in runs)[len(runs) // 2]
+                cells.append(f"{key} {median:.3g}")
             print(" | ".join(cells), flush=True)
 
 
--- a/copperloom/decisions/tests/callers.py
+++ b/copperloom/decisions/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the fake engines: what they ask, and what they see."""
+"""Simulated callers: their requests, and the outcomes that they observe."""
 
 import dataclasses
 import math
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What became of one request; `error` is "" if it was answered."""
+    """The outcome of one request; `error` is "" if it was answered."""
 
     request: messages.Request
     error: str = "lost"
@@ -41,32 +41,43 @@
     limit_s=LIMIT_S,
     start=0.0,
 ):
-    """Draws open-loop arrivals.
-
-    Short prompts have 500 to 16,000 tokens (median 2,500), long ones 100,000
-    to a million (evenly in the logarithm). A long request takes the place of
-    a drawn short one, so that the same seed without long work gives the same
-    short requests.
+    """Draws open-loop arrivals of requests.
+
+    Short prompts have 500 to 16,000 tokens, drawn from a lognormal
+    distribution; long ones have 100,000 to a million, drawn log-uniformly. A
+    long request replaces a drawn short one, so that a run without long
+    requests has the same short ones.
+
+    Args:
+        seed: Seed of the random generator.
+        rate: Requests per second.
+        seconds: Length of the load, in seconds.
+        long_share: Share of long requests.
+        organisations: Number of organisations.
+        large: Share of the requests of the largest organisation.
+        hot: Share of the short requests that have the same prefix.
+        limit_s: Time limit of short requests, in seconds.
+        start: Time of the start, in seconds.
     """
     rng = random.Random(seed)
     now = start
-    out = []
+    drawn = []
     while True:
         now += rng.expovariate(rate)
         if now > start + seconds:
-            return out
+            return drawn
         tokens = int(min(16_000, max(500, rng.lognormvariate(7.8, 0.8))))
         answer = rng.randint(20, 200)
-        first = rng.random() < large
-        org = 0 if first else rng.randrange(1, max(2, organisations))
+        is_largest = rng.random() < large
+        org = 0 if is_largest else rng.randrange(1, max(2, organisations))
         long_tokens = int(100_000 * 10 ** rng.random())
         is_long = rng.random() < long_share
         prefix = f"o{org}p{rng.randrange(4)}"
         if rng.random() < hot:
             prefix = "hot"
-        out.append(
+        drawn.append(
             make_request(
-                f"s{seed}.{start}.{len(out)}",
+                f"s{seed}.{start}.{len(drawn)}",
                 f"o{org}",
                 long_tokens if is_long else tokens,
                 answer,
@@ -95,14 +106,21 @@
 
 
 def work_s(req):
-    """Returns about the engine seconds that a request takes."""
+    """Estimates the engine time that a request takes, in seconds."""
     return req.prompt_tokens * engines.PREFILL_S + req.max_tokens * (
         engines.STEP_S / 16 + engines.DECODE_S
     )
 
 
 def rate_for(load, count, *, seed=99, long_share=0.02):
-    """Returns the arrivals a second that load the engines so much."""
+    """Returns the requests per second that cause a load at the engines.
+
+    Args:
+        load: Utilisation of the engines.
+        count: Number of engines.
+        seed: Seed of the sample of requests.
+        long_share: Share of long requests.
+    """
     drawn = requests(seed, 100.0, 100.0, long_share=long_share)
     mean = sum(map(work_s, drawn)) / len(drawn)
     return load * count / mean
@@ -117,7 +135,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Summary:
-    """What the callers of a run saw; an unanswered one counts as infinite."""
+    """Statistics of a run; unanswered requests have infinite latency."""
 
     offered: int
     answered: int
@@ -133,19 +151,23 @@
 
 
 def summarise(outcomes, *, since=0.0, until=math.inf):
-    """Sums up requests that arrived between two times."""
-    part = [o for o in outcomes if since <= o.request.arrived < until]
-    short = [o for o in part if o.short]
-    long = [o for o in part if not o.short]
-    answered = [o for o in part if not o.error]
-    late = [o for o in part if o.error == "TimeLimitPassedError"]
-    lost = [o for o in part if o.outcomes != 1]
-    refused = [o for o in part if o.error and o not in late and o not in lost]
+    """Summarises the requests that arrived between two times."""
+    selected = [o for o in outcomes if since <= o.request.arrived < until]
+    short = [o for o in selected if o.short]
+    long = [o for o in selected if not o.short]
+    answered = [o for o in selected if not o.error]
+    late = [o for o in selected if o.error == "TimeLimitPassedError"]
+    lost = [o for o in selected if o.outcomes != 1]
+    refused = [
+        o for o in selected if o.error and o not in late and o not in lost
+    ]
     ok = [o for o in short if not o.error]
-    done = sum(o.request.prompt_tokens + o.request.max_tokens for o in answered)
-    span = max((o.request.arrived for o in part), default=1.0) - since
+    tokens = sum(
+        o.request.prompt_tokens + o.request.max_tokens for o in answered
+    )
+    span = max((o.request.arrived for o in selected), default=1.0) - since
     return Summary(
-        len(part),
+        len(selected),
         len(answered),
         len(late),
         len(refused),
@@ -154,6 +176,6 @@
         quantile([o.first_s for o in short], 0.5),
         quantile([o.first_s for o in short], 0.99),
         quantile([o.total_s for o in ok], 0.99),
-        done / span,
+        tokens / span,
         max((o.decided_s for o in refused), default=0.0),
     )
--- a/copperloom/decisions/tests/control.py
+++ b/copperloom/decisions/tests/control.py
@@ -1,22 +1,21 @@
-"""What callers get by how instances learn of each other's work, and its cost.
+"""Compares the ways in which instances learn of each other's work.
 
 Usage:
   control [--seeds=N] [--seconds=S] [--burst=X] [--sheet=NAME] [--instances=N]
           [--shards=N]
 
 Options:
-  --seeds N      Seeds 1 to N are played [default: 3].
-  --seconds S    Length of each play [default: 20].
-  --burst X      Times the usual load between 5 and 15 s [default: 1.5].
-  --sheet NAME   The load [default: wroclaw-large].
-  --instances N  Instances that place [default: 195].
-  --shards N     Data centres, each with its share of engines [default: 5].
-
-Ways that are played: each instance by its own work alone; by the engines' own
-word, as old as their reports; all told by all; all told within the data centre;
-an owner in each data centre that places for all. Prints the share of the worth
-that callers got, by kind and in all, and the messages between instances for
-each request.
+  --seeds N      Play the seeds 1 to N [default: 3].
+  --seconds S    Length of each run in seconds [default: 20].
+  --burst X      Factor of the rates between 5 and 15 s [default: 1.5].
+  --sheet NAME   Name of the load [default: wroclaw-large].
+  --instances N  Number of instances that place [default: 195].
+  --shards N     Number of data centres that share the engines [default: 5].
+
+An instance may know of its own work only, of the engines' load reports, of all
+instances' work or of the work in its data centre; or an owner in each data
+centre may place all requests. Prints, for each way, the share of the worth that
+was served by kind and in all, and the messages between instances per request.
 """
 
 import dataclasses
@@ -33,11 +32,11 @@
 __all__ = ["WAYS", "Way", "main", "messages", "play"]
 
 _NEVER_S = math.inf
-# Age of an engine's own word of its load.
-_REPORT_S = 0.2
-# Gathering of changes and the way of a datagram.
-_TOLD_S = 0.005
-# Changes of a request's work that are told: sent, first token, end.
+# Interval of an engine's load reports.
+_ENGINE_REPORT_S = 0.2
+# Delay of reports between instances: batching of changes and the network.
+_PEER_REPORT_S = 0.005
+# Reported changes of a request: sent, first token, end.
 _CHANGES = 3
 
 
@@ -46,33 +45,34 @@
     """How instances learn of each other's work.
 
     Attributes:
-        told_after_s: Time until an instance knows what another has placed.
-        divided: Whether each data centre places on its own engines only.
-        owned: Whether one instance places for all.
+        report_delay_s: Time until an instance knows of another's placement, in
+            seconds.
+        divided: Whether each data centre uses its own engines only.
+        owned: Whether one instance places all requests of a data centre.
     """
 
-    told_after_s: float
+    report_delay_s: float
     divided: bool = False
     owned: bool = False
 
 
 WAYS = {
     "alone": Way(_NEVER_S),
-    "engines' word": Way(_REPORT_S),
-    "all to all": Way(_TOLD_S),
-    "within data centres": Way(_TOLD_S, divided=True),
+    "engine reports": Way(_ENGINE_REPORT_S),
+    "all to all": Way(_PEER_REPORT_S),
+    "within data centres": Way(_PEER_REPORT_S, divided=True),
     "owners": Way(0.0, divided=True, owned=True),
 }
 
 
 def messages(way: Way, instances: int, shards: int, owners: int) -> float:
-    """Returns the messages between instances for each request."""
+    """Returns the number of messages between instances per request."""
     if way.owned:
         return 2 + _CHANGES * owners
-    if way.told_after_s >= _REPORT_S:
+    if way.report_delay_s >= _ENGINE_REPORT_S:
         return 0
-    told = instances // shards if way.divided else instances
-    return _CHANGES * (told - 1)
+    informed = instances // shards if way.divided else instances
+    return _CHANGES * (informed - 1)
 
 
 def play(
@@ -85,7 +85,7 @@
     instances: int,
     shards: int,
 ) -> dict[str, float]:
-    """Returns the shares of worth by kind and in all."""
+    """Returns the shares of served worth by kind and in all."""
     load = sheets.arrivals(sheet, random.Random(seed), seconds, burst)
     parts = shards if way.divided else 1
     served = []
@@ -96,7 +96,7 @@
             load[part::parts],
             _sampled(sheet, random.Random(seed)),
             instances=1 if way.owned else max(1, instances // parts),
-            told_after_s=way.told_after_s,
+            report_delay_s=way.report_delay_s,
         )
     return sheets.worth_share(sheet, served)
 
@@ -112,7 +112,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the tool."""
+    """Runs the command."""
     args = docopt.docopt(__doc__, argv)
     sheet = sheets.SHEETS[args["--sheet"]]
     instances, shards = int(args["--instances"]), int(args["--shards"])
@@ -133,9 +133,9 @@
         shares = {
             k: statistics.fmean(r.get(k, 1.0) for r in rows) for k in kinds
         }
-        said = " ".join(f"{k}={v:.3f}" for k, v in shares.items())
+        text = " ".join(f"{k}={v:.3f}" for k, v in shares.items())
         sent = messages(way, instances, shards, owners=3)
-        print(f"{name}: {said} messages={sent:.0f}", flush=True)
+        print(f"{name}: {text} messages={sent:.0f}", flush=True)
     return 0
 
 
--- a/copperloom/decisions/tests/emulator.py
+++ b/copperloom/decisions/tests/emulator.py
@@ -1,8 +1,8 @@
-"""A small emulator of model engines, to play a load against placement.
+"""An emulator of model engines that plays a load against a placement.
 
-It works as `copperloom.decisions.iterations` says engines do, pass by pass,
-with a clock of its own, and tells what callers get: when the first token came,
-and the longest pause.
+It runs the iterations that `copperloom.decisions.iterations` describes on a
+simulated clock, and records the time to the first token and the longest gap
+between tokens of each request.
 """
 
 import collections
@@ -21,11 +21,12 @@
     plans,
 )
 
-__all__ = ["Arrival", "Served", "least_requests", "play", "spread_by_harm"]
+__all__ = ["Arrival", "Served", "least_requests", "play", "place_by_cost"]
 
+# Events of each answer.
 _EVENTS = 20
-# An engine reads in chunks of 2,048 tokens: 11.6 ms, longer far into a prompt.
-_PIECE_S = 0.02
+# Time of one chunk of a prompt, after which an engine may switch to another.
+_CHUNK_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,8 +34,8 @@
     """A request of the load.
 
     Attributes:
-        at: When it comes, in seconds.
-        prompt: What is asked.
+        at: Time of its arrival, in seconds.
+        prompt: Its prompt.
     """
 
     at: float
@@ -43,38 +44,38 @@
 
 @dataclasses.dataclass
 class Served:
-    """What its caller got.
+    """The answer to a request.
 
     Attributes:
         arrival: The request.
-        first_s: Time to the first token; None if it was refused.
-        pause_s: Longest pause between events.
+        first_s: Time to the first token, in seconds; None if it was refused.
+        gap_s: Longest gap between events, in seconds.
         instance: Number of the instance that places it.
-        started_at: When it was placed.
-        left: Parts that are not read yet.
-        events: Events written.
+        started_at: Time at which it was placed.
+        parts_left: Parts whose prefill has not ended.
+        events: Number of events sent.
         last_at: Time of the last event.
     """
 
     arrival: Arrival
     first_s: float | None = None
-    pause_s: float = 0.0
+    gap_s: float = 0.0
     instance: int = 0
     started_at: float = 0.0
-    left: int = 0
+    parts_left: int = 0
     events: int = 0
     last_at: float = 0.0
 
-    def in_time(self) -> bool:
-        """Whether the caller got all it asked for in time."""
+    def meets_objectives(self) -> bool:
+        """Returns whether all latency objectives were met."""
         prompt = self.arrival.prompt
         if self.first_s is None or self.first_s > prompt.first_token_aim_s:
             return False
-        return self.pause_s <= prompt.pause_aim_s
+        return self.gap_s <= prompt.pause_aim_s
 
 
 @dataclasses.dataclass(eq=False)
-class _Reading:
+class _Prefill:
     served: Served
     left_s: float
     is_split: bool
@@ -83,8 +84,8 @@
 class _Engine:
     def __init__(self):
         self.admitted = 0
-        self.queue: collections.deque[_Reading] = collections.deque()
-        self.reading: list[_Reading] = []
+        self.queue: collections.deque[_Prefill] = collections.deque()
+        self.prefills: list[_Prefill] = []
         self.decoding: list[Served] = []
         self.busy = False
 
@@ -92,8 +93,8 @@
 Placement = Callable[[plans.Prompt, list[plans.Candidate]], plans.Choice]
 
 
-def spread_by_harm(spec: routing.EngineSpec) -> Placement:
-    """Places as the product does."""
+def place_by_cost(spec: routing.EngineSpec) -> Placement:
+    """Returns the placement by cost, as in production."""
 
     def place(prompt, candidates):
         return choice.choose(spec, prompt, candidates)
@@ -102,12 +103,12 @@
 
 
 def least_requests(spec: routing.EngineSpec) -> Placement:
-    """Places at the engine with the least requests; the baseline."""
+    """Returns the baseline: the engine with the least requests."""
 
     def place(prompt, candidates):
         best = min(candidates, key=lambda c: c.load.requests)
-        read_s = iterations.prefill_s(spec, prompt.tokens)
-        return plans.Plan(best.name, (), read_s, 0.0, 0.0)
+        prefill_s = iterations.prefill_s(spec, prompt.tokens)
+        return plans.Plan(best.name, (), prefill_s, 0.0, 0.0)
 
     return place
 
@@ -119,45 +120,50 @@
     place: Placement,
     *,
     instances: int = 1,
-    told_after_s: float = 0.0,
+    report_delay_s: float = 0.0,
 ) -> list[Served]:
-    """Plays a load; returns what each caller got, in order of arrival.
+    """Plays a load against a placement.
 
     Args:
         spec: Figures of the engines.
-        engines: How many there are.
+        engines: Number of engines.
         arrivals: The load.
-        place: How prompts are placed.
-        instances: Instances that place, each in turn.
-        told_after_s: Time until an instance knows what another has placed.
+        place: The placement.
+        instances: Number of instances, which place requests in turn.
+        report_delay_s: Time until an instance knows of another's placement.
+
+    Returns:
+        The answers in order of arrival.
     """
     names = [f"e{n}" for n in range(engines)]
-    world = _World(spec, {name: _Engine() for name in names}, told_after_s)
+    simulation = _Simulation(
+        spec, {name: _Engine() for name in names}, report_delay_s
+    )
     for number, arrival in enumerate(arrivals):
         served = Served(arrival, instance=number % instances)
-        world.schedule(arrival.at, ("arrive", served))
-    while world.queue:
-        now, _, (what, subject) = heapq.heappop(world.queue)
-        if what == "arrive":
-            world.arrive(now, subject, place)
+        simulation.schedule(arrival.at, ("arrive", served))
+    while simulation.event_queue:
+        now, _, (event, subject) = heapq.heappop(simulation.event_queue)
+        if event == "arrive":
+            simulation.arrive(now, subject, place)
         else:
-            world.end_pass(now, subject)
-    return world.served
+            simulation.end_iteration(now, subject)
+    return simulation.served
 
 
-class _World:
-    def __init__(self, spec, engines: dict[str, _Engine], told_after_s):
+class _Simulation:
+    def __init__(self, spec, engines: dict[str, _Engine], report_delay_s):
         self.spec = spec
         self.engines = engines
-        self.told_after_s = told_after_s
-        self.board = inflight_table.InflightTable()
-        self.placed: dict[str, Served] = {}
-        self.queue: list = []
+        self.report_delay_s = report_delay_s
+        self.table = inflight_table.InflightTable()
+        self.by_request: dict[str, Served] = {}
+        self.event_queue: list = []
         self.order = itertools.count()
         self.served: list[Served] = []
 
     def schedule(self, at: float, item) -> None:
-        heapq.heappush(self.queue, (at, next(self.order), item))
+        heapq.heappush(self.event_queue, (at, next(self.order), item))
 
     def arrive(self, now: float, served: Served, place: Placement) -> None:
         waited_s = now - served.arrival.at
@@ -178,38 +184,38 @@
         if not isinstance(plan, plans.Plan):
             return
         names = (plan.lead, *plan.helpers)
-        served.left = len(names)
+        served.parts_left = len(names)
         served.lead = plan.lead
         served.started_at = now
-        self._note(now, served, plan, names)
+        self._record(now, served, plan, names)
         for name in names:
-            reading = _Reading(served, plan.part_s, len(names) > 1)
-            self._take(self.engines[name], reading, leads=name == plan.lead)
-            self.start_pass(now, name)
+            prefill = _Prefill(served, plan.part_s, len(names) > 1)
+            self._admit(self.engines[name], prefill, is_lead=name == plan.lead)
+            self.start_iteration(now, name)
 
     def _known(self, now: float, instance: int) -> inflight_table.InflightTable:
-        """Returns the board without what others have not told yet."""
+        """Returns the in-flight table as an instance knows it."""
         known = inflight_table.InflightTable()
-        for request, work in self.board.own.items():
-            served = self.placed[request]
-            told = served.started_at <= now - self.told_after_s
-            if told or served.instance == instance:
+        for request, work in self.table.own.items():
+            served = self.by_request[request]
+            reported = served.started_at <= now - self.report_delay_s
+            if reported or served.instance == instance:
                 inflight_table.begin(known, request, work)
         return known
 
-    def _take(self, engine: _Engine, reading: _Reading, *, leads: bool):
-        """Admits a prompt, or has it wait until an answer has ended."""
-        if leads and engine.admitted >= self.spec.slots:
-            engine.queue.append(reading)
+    def _admit(self, engine: _Engine, prefill: _Prefill, *, is_lead: bool):
+        """Starts a prefill, or queues it until a slot is free."""
+        if is_lead and engine.admitted >= self.spec.slots:
+            engine.queue.append(prefill)
             return
-        engine.admitted += leads
-        engine.reading.append(reading)
+        engine.admitted += is_lead
+        engine.prefills.append(prefill)
 
-    def _note(self, now, served, plan, names) -> None:
+    def _record(self, now, served, plan, names) -> None:
         prompt = served.arrival.prompt
-        self.placed[str(id(served))] = served
+        self.by_request[str(id(served))] = served
         inflight_table.begin(
-            self.board,
+            self.table,
             str(id(served)),
             [
                 inflight.Work(
@@ -227,73 +233,73 @@
             ],
         )
 
-    def start_pass(self, now: float, name: str) -> None:
+    def start_iteration(self, now: float, name: str) -> None:
         engine = self.engines[name]
-        if engine.busy or not (engine.reading or engine.decoding):
+        if engine.busy or not (engine.prefills or engine.decoding):
             return
         engine.busy = True
         context = sum(s.arrival.prompt.tokens for s in engine.decoding)
-        length = iterations.iteration_s(
+        duration_s = iterations.iteration_s(
             self.spec, len(engine.decoding), context
         )
         if not engine.decoding:
-            # It reads one prompt, and looks anew after each piece which one.
-            engine.taken = [_next(engine.reading)]
-            length = min(_PIECE_S, engine.taken[0].left_s)
-            engine.taken[0].left_s -= length
-            self.schedule(now + length, ("pass", name))
+            # It prefills one prompt at a time, and may switch after each chunk.
+            engine.batch = [_next_prefill(engine.prefills)]
+            duration_s = min(_CHUNK_S, engine.batch[0].left_s)
+            engine.batch[0].left_s -= duration_s
+            self.schedule(now + duration_s, ("iteration", name))
             return
-        engine.taken = list(engine.reading)
-        for reading in engine.taken:
-            length += reading.left_s
-            reading.left_s = 0.0
-        self.schedule(now + length, ("pass", name))
+        engine.batch = list(engine.prefills)
+        for prefill in engine.batch:
+            duration_s += prefill.left_s
+            prefill.left_s = 0.0
+        self.schedule(now + duration_s, ("iteration", name))
 
-    def end_pass(self, now: float, name: str) -> None:
+    def end_iteration(self, now: float, name: str) -> None:
         engine = self.engines[name]
         engine.busy = False
         for served in list(engine.decoding):
             served.events += 1
-            served.pause_s = max(served.pause_s, now - served.last_at)
+            served.gap_s = max(served.gap_s, now - served.last_at)
             served.last_at = now
             if served.events >= _EVENTS:
                 engine.decoding.remove(served)
-                inflight_table.end(self.board, str(id(served)))
+                inflight_table.end(self.table, str(id(served)))
                 engine.admitted -= 1
                 if engine.queue:
-                    self._take(engine, engine.queue.popleft(), leads=True)
-        done = [r for r in engine.taken if r.left_s <= 0]
-        engine.reading = [r for r in engine.reading if r not in done]
-        for reading in done:
-            reading.served.left -= 1
-            if not reading.served.left:
-                self._first(now, reading.served)
-        self.start_pass(now, name)
-
-    def _first(self, now: float, served: Served) -> None:
+                    self._admit(engine, engine.queue.popleft(), is_lead=True)
+        done = [p for p in engine.batch if p.left_s <= 0]
+        engine.prefills = [p for p in engine.prefills if p not in done]
+        for prefill in done:
+            prefill.served.parts_left -= 1
+            if not prefill.served.parts_left:
+                self._record_first_token(now, prefill.served)
+        self.start_iteration(now, name)
+
+    def _record_first_token(self, now: float, served: Served) -> None:
         served.first_s = now - served.arrival.at
         served.last_at = now
-        inflight_table.mark_decoding(self.board, str(id(served)))
+        inflight_table.mark_decoding(self.table, str(id(served)))
         self.engines[served.lead].decoding.append(served)
-        self.start_pass(now, served.lead)
+        self.start_iteration(now, served.lead)
 
 
-def _next(reading: list[_Reading]) -> _Reading:
-    """Returns what an engine without writers reads next.
+def _next_prefill(prefills: list[_Prefill]) -> _Prefill:
+    """Returns the next prefill of an engine without decodes.
 
-    The newest part; only without parts, the oldest whole prompt.
+    This is the newest part or, without parts, the oldest whole prompt.
     """
-    parts = [r for r in reading if r.is_split]
-    return parts[-1] if parts else reading[0]
+    parts = [p for p in prefills if p.is_split]
+    return parts[-1] if parts else prefills[0]
 
 
 def times(rng: random.Random, seconds: float, per_s) -> Iterator[float]:
-    """Draws when requests come.
+    """Draws the arrival times of requests.
 
     Args:
-        rng: Source of the draw.
-        seconds: How long.
-        per_s: (time) -> requests a second from then on.
+        rng: Source of randomness.
+        seconds: Length of the load, in seconds.
+        per_s: Function from the time to the requests per second.
     """
     at = rng.expovariate(per_s(0.0))
     while at < seconds:
@@ -304,12 +310,12 @@
 def mixed_load(
     rng: random.Random, seconds: float, rates: dict[plans.Prompt, float]
 ) -> list[Arrival]:
-    """Draws arrivals of several kinds of prompts.
+    """Draws the arrivals of several prompts.
 
     Args:
-        rng: Source of the draw.
-        seconds: How long.
-        rates: Requests a second by prompt.
+        rng: Source of randomness.
+        seconds: Length of the load, in seconds.
+        rates: Requests per second by prompt.
     """
     found = [
         Arrival(at, prompt)
--- a/copperloom/decisions/tests/engines.py
+++ b/copperloom/decisions/tests/engines.py
@@ -1,8 +1,8 @@
-"""A small fake of engines on an event heap, for tests without sockets.
+"""Simulated engines on an event heap, for tests without sockets.
 
 An engine works in steps: each step prefills a chunk of the waiting prompts,
-highest priority first, and gives every decoding stream one token. KV memory
-is taken when a stream enters the batch and given back when it ends.
+highest priority first, and generates one token of every decoding stream. KV
+memory is allocated when a stream enters the batch and freed when it ends.
 """
 
 import dataclasses
@@ -16,33 +16,33 @@
 PREFILL_S = 50e-6
 DECODE_S = 0.0003
 CHUNK_TOKENS = 4096
-BATCH_MOST = 64
+MAX_BATCH = 64
 CACHED_PREFIXES = 8
 CACHED_SHARE = 0.75
 
 
 class Clock:
-    """An event loop on a heap with its own time."""
+    """An event loop with simulated time."""
 
     def __init__(self):
         self.now = 0.0
         self.heap = []
         self.sequence = itertools.count()
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        item = (max(when, self.now), next(self.sequence), call)
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        item = (max(when, self.now), next(self.sequence), callback)
         heapq.heappush(self.heap, item)
 
     def run(self, until: float) -> None:
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
+            self.now, _, callback = heapq.heappop(self.heap)
+            callback()
         self.now = until
 
 
 @dataclasses.dataclass(eq=False)
 class Stream:
-    """A stream at an engine; a part that only holds memory has no answer."""
+    """A stream at an engine; `answer` is 0 if it only holds memory."""
 
     name: str
     need: int
@@ -57,7 +57,7 @@
 
 
 class Engine:
-    """A fake engine; `slow` stretches its steps."""
+    """A simulated engine; `slow` multiplies the duration of its steps."""
 
     def __init__(self, clock: Clock, name: str, kv: int, slow: float = 1.0):
         self.clock = clock
@@ -66,7 +66,7 @@
         self.slow = slow
         self.down = False
         self.used = 0
-        self.most_used = 0
+        self.max_used = 0
         self.busy = False
         self.waiting: list[Stream] = []
         self.batch: list[Stream] = []
@@ -75,7 +75,7 @@
         self.sequence = itertools.count()
 
     def open(self, stream: Stream) -> bool:
-        """Takes a stream; False if the engine can't be reached."""
+        """Accepts a stream; returns False if the engine is unreachable."""
         if self.down:
             return False
         stream.order = next(self.sequence)
@@ -85,10 +85,10 @@
         return True
 
     def close(self, name: str) -> None:
-        """Cancels a stream, or frees the memory of a held one."""
+        """Cancels a stream and frees its memory."""
         self.waiting = [s for s in self.waiting if s.name != name]
         for stream in [s for s in self.batch if s.name == name]:
-            self._leave(stream)
+            self._remove_from_batch(stream)
         self._wake()
 
     def load(self) -> interface.LoadReport:
@@ -112,31 +112,31 @@
     def _wake(self):
         if not self.busy and not self.down and (self.waiting or self.batch):
             self.busy = True
-            self._step()
+            self._start_step()
 
-    def _step(self):
-        while self.waiting and len(self.batch) < BATCH_MOST:
+    def _start_step(self):
+        while self.waiting and len(self.batch) < MAX_BATCH:
             if self.used + self.waiting[0].need > self.kv:
                 break
-            self._enter(self.waiting.pop(0))
+            self._add_to_batch(self.waiting.pop(0))
         prompts = [s for s in self.batch if s.prefill > 0]
         prompts.sort(key=lambda s: (-s.priority, s.order))
         decoding = [s for s in self.batch if s.prefill <= 0 and s.answer]
-        left = CHUNK_TOKENS
+        budget = CHUNK_TOKENS
         for stream in prompts:
-            done = min(left, stream.prefill)
-            stream.prefill -= done
-            left -= done
+            prefilled = min(budget, stream.prefill)
+            stream.prefill -= prefilled
+            budget -= prefilled
         if not prompts and not decoding:
             self.busy = False
             return
-        cost = STEP_S + DECODE_S * len(decoding)
-        cost += PREFILL_S * (CHUNK_TOKENS - left)
+        duration_s = STEP_S + DECODE_S * len(decoding)
+        duration_s += PREFILL_S * (CHUNK_TOKENS - budget)
         ready = [s for s in prompts if s.prefill <= 0]
-        when = self.clock.now + cost * self.slow
-        self.clock.at(when, lambda: self._stepped(ready, decoding))
+        when = self.clock.now + duration_s * self.slow
+        self.clock.at(when, lambda: self._finish_step(ready, decoding))
 
-    def _stepped(self, ready, decoding):
+    def _finish_step(self, ready, decoding):
         for stream in ready + decoding:
             if stream not in self.batch:
                 continue
@@ -144,14 +144,14 @@
             if stream.emitted == 1:
                 stream.on_first()
             if stream.answer and stream.emitted >= stream.answer:
-                self._leave(stream)
+                self._remove_from_batch(stream)
                 stream.on_end()
-        self._step()
+        self._start_step()
 
-    def _enter(self, stream):
+    def _add_to_batch(self, stream):
         self.batch.append(stream)
         self.used += stream.need
-        self.most_used = max(self.most_used, self.used)
+        self.max_used = max(self.max_used, self.used)
         if not stream.prefix:
             return
         if stream.prefix in self.cache:
@@ -161,7 +161,7 @@
         self.cache.append(stream.prefix)
         del self.cache[:-CACHED_PREFIXES]
 
-    def _leave(self, stream):
+    def _remove_from_batch(self, stream):
         if stream in self.batch:
             self.batch.remove(stream)
             self.used -= stream.need
--- a/copperloom/decisions/tests/peaks.py
+++ b/copperloom/decisions/tests/peaks.py
@@ -1,18 +1,18 @@
-"""Plays the users' loads on the emulator of engines, by policy.
+"""Plays the loads of the data sheets on emulated engines, by policy.
 
 Usage:
   peaks [--seeds=N] [--seconds=S] [--burst=X] [--set=NAME=VALUE]... [SHEET...]
 
 Options:
-  --seeds N      Seeds 1 to N are played [default: 4].
-  --seconds S    Length of each play [default: 20].
-  --burst X      Times the usual load between 5 and 15 s [default: 2.4].
-  --set NAME=VALUE  A constant of copperloom.decisions set for this run, such
-                    as spread.PACK_COST=0.
-
-Prints for each policy the share of the worth that callers got, by kind and in
-all, as the mean over the seeds, and the reading offered in the busiest four
-seconds as a share of what all engines can read.
+  --seeds N      Play the seeds 1 to N [default: 4].
+  --seconds S    Length of each run in seconds [default: 20].
+  --burst X      Factor of the rates between 5 and 15 s [default: 2.4].
+  --set NAME=VALUE  Set a constant of copperloom.decisions, for example
+                    planner.PACK_COST=0.
+
+Prints, for each policy, the share of the worth that was served by kind and in
+all, and the prefill time offered in the busiest four seconds relative to the
+capacity of all engines. Both are means over the seeds.
 """
 
 import importlib
@@ -28,7 +28,7 @@
 
 POLICIES = {
     "least_requests": emulator.least_requests,
-    "copperloom": emulator.spread_by_harm,
+    "copperloom": emulator.place_by_cost,
 }
 _WINDOW_S = 4.0
 
@@ -36,7 +36,7 @@
 def play(
     sheet: sheets.Sheet, policy: str, seeds: int, seconds: float, burst: float
 ) -> dict[str, float]:
-    """Returns the mean shares of worth by kind, "all", and "offered"."""
+    """Returns the mean results over the seeds; see `play_seed`."""
     rows = [
         play_seed(sheet, policy, seed, seconds, burst)
         for seed in range(1, seeds + 1)
@@ -53,9 +53,18 @@
     burst: float,
     **options,
 ) -> dict[str, float]:
-    """Returns the shares of worth by kind, "all", and "offered" of one seed.
-
-    Options are those of `emulator.play`.
+    """Returns the shares of served worth and the offered load of one seed.
+
+    Args:
+        sheet: The fleet and its load.
+        policy: Name of the policy.
+        seed: Seed of the load.
+        seconds: Length of the run, in seconds.
+        burst: Factor of the rates during the burst.
+        **options: Options of `emulator.play`.
+
+    Returns:
+        The shares by kind, in all as "all", and the load as "offered".
     """
     load = sheets.arrivals(sheet, random.Random(seed), seconds, burst)
     place = POLICIES[policy](sheet.spec)
@@ -72,15 +81,15 @@
 
 def set_constant(text: str) -> None:
     """Sets a constant, given as MODULE.NAME=VALUE."""
-    name, _, value = text.partition("=")
-    module, _, constant = name.rpartition(".")
-    found = importlib.import_module(f"copperloom.decisions.{module}")
-    kind = type(getattr(found, constant))
-    setattr(found, constant, kind(float(value)))
+    path, _, value = text.partition("=")
+    module_name, _, constant = path.rpartition(".")
+    module = importlib.import_module(f"copperloom.decisions.{module_name}")
+    kind = type(getattr(module, constant))
+    setattr(module, constant, kind(float(value)))
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the tool."""
+    """Runs the command."""
     args = docopt.docopt(__doc__, argv)
     for text in args["--set"]:
         set_constant(text)
@@ -93,8 +102,8 @@
                 float(args["--seconds"]),
                 float(args["--burst"]),
             )
-            said = " ".join(f"{k}={v:.3f}" for k, v in row.items())
-            print(f"{name} {policy}: {said}", flush=True)
+            shares = " ".join(f"{k}={v:.3f}" for k, v in row.items())
+            print(f"{name} {policy}: {shares}", flush=True)
     return 0
 
 
--- a/copperloom/decisions/tests/sheets.py
+++ b/copperloom/decisions/tests/sheets.py
@@ -1,9 +1,8 @@
-"""Loads: kinds of prompts, sizes, rates and worth, and engines.
+"""Data sheets of fleets: their engines, and the prompts of their loads.
 
-Figures are those of the users' sheets; the others are our own fleets, unlike
-them in slots, memory, speed and mix, and nothing is chosen by them. Sizes are
-drawn from a lognormal distribution with the stated mean and spread, cut at the
-stated largest.
+Besides the fleets in operation there are synthetic ones that differ in slots,
+memory, speed and mix. Prompt lengths are drawn from a lognormal distribution
+with the given mean and standard deviation, and truncated.
 """
 
 import dataclasses
@@ -16,15 +15,18 @@
 
 __all__ = ["SHEETS", "Kind", "Sheet", "arrivals", "offered", "worth_share"]
 
-# Callers leave a stream that shows or writes nothing for so long.
-_LEAVES_S = 2.0
-_LEAVES_AIMS = 4.0
-_LEAVES_PAUSES = 8.0
-# The way to a caller and back.
-_WAY_S = 0.03
-# A prompt is worth more the larger it is, at most so many times its kind's.
-_LEAST_WORTH = 0.3
-_MOST_WORTH = 4.0
+# A caller abandons a stream after a silence of _ABANDON_S seconds or of these
+# multiples of its objectives, whichever is longest.
+_ABANDON_S = 2.0
+_ABANDON_OBJECTIVES = 4.0
+_ABANDON_GAPS = 8.0
+# Round-trip time to a caller.
+_NETWORK_S = 0.03
+# The worth of a prompt grows with its length; bounds of the multiple of its
+# kind's worth.
+_MIN_WORTH = 0.3
+_MAX_WORTH = 4.0
+# Start and end of the burst.
 _BURST_S = (5.0, 15.0)
 
 
@@ -33,25 +35,25 @@
     """A kind of prompt.
 
     Attributes:
-        name: Its name.
-        per_s: Requests a second.
-        tokens: Mean length.
+        name: Name of the kind.
+        per_s: Requests per second.
+        tokens: Mean length, in tokens.
         spread: Standard deviation of the length, as a share of the mean.
-        most: Largest length.
-        aim_s: When its first token should come.
-        pause_s: Longest pause that callers accept.
+        max_tokens: Largest length, in tokens.
+        objective_s: First-token objective, in seconds.
+        gap_objective_s: Inter-token objective, in seconds.
         answer: Tokens of an answer.
-        worth: What one of mean size in time is worth.
-        late_worth: What it is worth late.
+        worth: Worth of a prompt of mean length that meets its objectives.
+        late_worth: Its worth if it misses an objective.
     """
 
     name: str
     per_s: float
     tokens: int
     spread: float
-    most: int
-    aim_s: float
-    pause_s: float
+    max_tokens: int
+    objective_s: float
+    gap_objective_s: float
     answer: int
     worth: float
     late_worth: float
@@ -59,11 +61,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sheet:
-    """One fleet's load and engines.
+    """The engines and the load of one fleet.
 
     Attributes:
         engines: Number of engines.
-        spec: Their figures.
+        spec: Figures of the engines.
         kinds: The kinds of prompts.
     """
 
@@ -122,15 +124,15 @@
     spec = _spec(5, 315_000, 80)
     short, mid, long = _kinds(rates, (3.1, 0.78), (220_000, 4.0, 26.0, 6.5))
     kinds = (
-        dataclasses.replace(short, aim_s=0.421, pause_s=0.3),
-        dataclasses.replace(mid, pause_s=0.8),
-        dataclasses.replace(long, pause_s=1.2),
+        dataclasses.replace(short, objective_s=0.421, gap_objective_s=0.3),
+        dataclasses.replace(mid, gap_objective_s=0.8),
+        dataclasses.replace(long, gap_objective_s=1.2),
     )
     return Sheet(engines, spec, kinds)
 
 
 def _shifted(engines: int, *rates: float) -> Sheet:
-    """More and larger prompts, before engines that read faster."""
+    """Returns a fleet with more and longer prompts, and faster prefills."""
     spec = routing.EngineSpec(
         slots=6,
         kv_tokens=382_500,
@@ -152,18 +154,18 @@
     return Sheet(engines, spec, kinds)
 
 
-def _scaled(spec: routing.EngineSpec, reads: float, steps: float):
-    """Returns engines that read and write so many times as fast."""
+def _scaled(spec: routing.EngineSpec, prefill: float, decode: float):
+    """Returns engines whose prefill and decode rates are multiplied."""
     return dataclasses.replace(
         spec,
-        prefill_tokens_per_s=spec.prefill_tokens_per_s * reads,
-        pair_s=spec.pair_s / reads,
-        step_s=spec.step_s / steps,
+        prefill_tokens_per_s=spec.prefill_tokens_per_s * prefill,
+        pair_s=spec.pair_s / prefill,
+        step_s=spec.step_s / decode,
     )
 
 
 def _small_slow() -> Sheet:
-    """Many engines with little memory that read a third as fast."""
+    """Returns many engines with little memory and slow prefills."""
     kinds = (
         Kind("short", 60.0, 1500, 0.9, 8000, 0.4, 0.3, 800, 1.0, 0.3),
         Kind("middle", 4.0, 12_000, 0.5, 40_000, 1.5, 0.6, 600, 3.0, 0.8),
@@ -173,19 +175,19 @@
 
 
 def _few_fast() -> Sheet:
-    """Six engines with many slots and much memory that read twice as fast."""
+    """Returns few engines with many slots and fast prefills."""
     kinds = _kinds((16.0, 0.8, 0.35), (4.2, 1.0), (154_000, 3.0, 21.0, 5.2))
     return Sheet(6, _scaled(_spec(24, 1_000_000, 51), 2.0, 1.0), kinds)
 
 
 def _short_only() -> Sheet:
-    """Short prompts alone, near what the slots can take at the peak."""
+    """Returns a load of short prompts that nearly fills the slots at a peak."""
     kinds = (Kind("short", 34.0, 4960, 0.9, 23_800, 0.3, 0.25, 1600, 1.3, 0.3),)
     return Sheet(14, _spec(8, 315_000, 51), kinds)
 
 
 def _long_heavy() -> Sheet:
-    """Mostly long prompts, each worth as much as a few short ones."""
+    """Returns a load of mostly long prompts of moderate worth."""
     kinds = (
         Kind("short", 3.0, 4960, 0.9, 23_800, 0.3, 0.25, 1600, 1.3, 0.3),
         Kind("long", 1.4, 120_000, 0.6, 400_000, 5.0, 1.5, 800, 6.0, 3.0),
@@ -193,8 +195,8 @@
     return Sheet(16, _spec(8, 315_000, 51), kinds)
 
 
-def _short_passes() -> Sheet:
-    """Engines that give an event every 15 steps, to impatient callers."""
+def _short_iterations() -> Sheet:
+    """Returns engines with short iterations, and tight objectives."""
     kinds = (
         Kind("short", 30.0, 3000, 0.9, 16_000, 0.15, 0.1, 500, 1.3, 0.3),
         Kind("middle", 2.0, 45_000, 0.5, 110_000, 1.0, 0.3, 400, 4.2, 1.0),
@@ -203,7 +205,7 @@
     return Sheet(16, _spec(8, 315_000, 15), kinds)
 
 
-# Engines, and requests a second by kind.
+# The numbers are those of engines and of requests per second by kind.
 SHEETS = {
     "wroclaw": _today(14, 14.3, 0.724, 0.439),
     "oslo": _today(18, 18.4, 0.935, 0.565),
@@ -212,29 +214,29 @@
     "oslo-grown": _grown(60, 48.4, 3.07, 1.32),
     "wroclaw-shifted": _shifted(78, 49.9, 7.95, 1.35),
     "wroclaw-large": _large(112, 77.0, 5.65, 1.88),
-    # Hundreds of instances may stand before few engines, too.
+    # A fleet with many instances may have few engines.
     "few-before-hundreds": _large(10, 7.0, 0.5, 0.17),
     "small-slow": _small_slow(),
     "few-fast": _few_fast(),
     "short-only": _short_only(),
     "long-heavy": _long_heavy(),
-    "short-passes": _short_passes(),
+    "short-passes": _short_iterations(),
 }
 
 
 def arrivals(
     sheet: Sheet, rng: random.Random, seconds: float, burst: float
 ) -> list[emulator.Arrival]:
-    """Draws a load; between 5 and 15 s it is `burst` times the usual one."""
+    """Draws a load; its rates are multiplied by `burst` between 5 and 15 s."""
 
-    def swell(at: float) -> float:
+    def rate_factor(at: float) -> float:
         return burst if _BURST_S[0] < at < _BURST_S[1] else 1.0
 
     found = [
         emulator.Arrival(at, _prompt(kind, rng))
         for kind in sheet.kinds
         for at in emulator.times(
-            rng, seconds, lambda at, kind=kind: kind.per_s * swell(at)
+            rng, seconds, lambda at, kind=kind: kind.per_s * rate_factor(at)
         )
     ]
     return sorted(found, key=lambda a: a.at)
@@ -243,54 +245,64 @@
 def _prompt(kind: Kind, rng: random.Random) -> plans.Prompt:
     sigma = math.sqrt(math.log(1 + kind.spread**2))
     drawn = rng.lognormvariate(math.log(kind.tokens) - sigma**2 / 2, sigma)
-    tokens = int(min(kind.most, max(50, drawn)))
-    return plans.Prompt(tokens, kind.answer, kind.aim_s, kind.pause_s)
+    tokens = int(min(kind.max_tokens, max(50, drawn)))
+    return plans.Prompt(
+        tokens, kind.answer, kind.objective_s, kind.gap_objective_s
+    )
 
 
 def _kind(sheet: Sheet, prompt: plans.Prompt) -> Kind:
-    return next(k for k in sheet.kinds if k.aim_s == prompt.first_token_aim_s)
+    return next(
+        k for k in sheet.kinds if k.objective_s == prompt.first_token_aim_s
+    )
 
 
 def _worth(kind: Kind, prompt: plans.Prompt) -> float:
     size = prompt.tokens / kind.tokens
-    return min(_MOST_WORTH, _LEAST_WORTH + (1 - _LEAST_WORTH) * size)
+    return min(_MAX_WORTH, _MIN_WORTH + (1 - _MIN_WORTH) * size)
 
 
 def worth_share(sheet: Sheet, served) -> dict[str, float]:
-    """Returns the share of the worth that callers got, by kind and in all."""
-    owed = dict.fromkeys([k.name for k in sheet.kinds], 0.0)
-    got = dict(owed)
+    """Returns the share of the worth that was served, by kind and in all."""
+    offered_worth = dict.fromkeys([k.name for k in sheet.kinds], 0.0)
+    served_worth = dict(offered_worth)
     for one in served:
         kind = _kind(sheet, one.arrival.prompt)
         size = _worth(kind, one.arrival.prompt)
-        owed[kind.name] += size * kind.worth
-        got[kind.name] += size * _earned(kind, one)
-    shares = {k: got[k] / owed[k] for k in owed if owed[k]}
-    return shares | {"all": sum(got.values()) / sum(owed.values())}
+        offered_worth[kind.name] += size * kind.worth
+        served_worth[kind.name] += size * _earned(kind, one)
+    shares = {
+        k: served_worth[k] / offered_worth[k]
+        for k in offered_worth
+        if offered_worth[k]
+    }
+    return shares | {
+        "all": sum(served_worth.values()) / sum(offered_worth.values())
+    }
 
 
 def _earned(kind: Kind, one: emulator.Served) -> float:
     if one.first_s is None or one.first_s > max(
-        _LEAVES_S, _LEAVES_AIMS * kind.aim_s
+        _ABANDON_S, _ABANDON_OBJECTIVES * kind.objective_s
     ):
         return 0.0
-    if one.pause_s > max(_LEAVES_S, _LEAVES_PAUSES * kind.pause_s):
+    if one.gap_s > max(_ABANDON_S, _ABANDON_GAPS * kind.gap_objective_s):
         return 0.0
-    in_time = one.in_time() and one.first_s < kind.aim_s - _WAY_S
-    return kind.worth if in_time else kind.late_worth
+    met = one.meets_objectives() and one.first_s < kind.objective_s - _NETWORK_S
+    return kind.worth if met else kind.late_worth
 
 
 def offered(
     sheet: Sheet, load: list[emulator.Arrival], window_s: float
 ) -> float:
-    """Returns the reading offered in the busiest window.
+    """Returns the prefill time offered in the busiest window.
 
-    As a share of what all engines can read in it: above 1 something is late
-    or refused whatever is decided.
+    It is relative to the capacity of all engines: above 1, some requests are
+    late or refused under any policy.
     """
     sums: dict[int, float] = {}
     for arrival in load:
         window = int(arrival.at // window_s)
-        read_s = iterations.prefill_s(sheet.spec, arrival.prompt.tokens)
-        sums[window] = sums.get(window, 0.0) + read_s
+        prefill_s = iterations.prefill_s(sheet.spec, arrival.prompt.tokens)
+        sums[window] = sums.get(window, 0.0) + prefill_s
     return max(sums.values()) / (window_s * sheet.engines)
--- a/copperloom/decisions/tests/sweep.py
+++ b/copperloom/decisions/tests/sweep.py
@@ -1,18 +1,18 @@
-"""What constants of the decisions are worth, on the emulator, by pairs.
+"""Compares variants of the decisions' constants on emulated engines.
 
 Usage:
   sweep [--seeds=N] [--burst=X] [--jobs=N] [--sheet=NAME]... VARIANT...
 
 Options:
-  --seeds N     Seeds 1 to N are played, each with and without a variant
+  --seeds N     Play the seeds 1 to N with and without each variant
                 [default: 6].
-  --burst X     Times the usual load between 5 and 15 of 20 s [default: 2.4].
-  --jobs N      Plays at once [default: 4].
-  --sheet NAME  A load to play; all if none is given.
+  --burst X     Factor of the rates between 5 and 15 of 20 s [default: 2.4].
+  --jobs N      Number of parallel runs [default: 4].
+  --sheet NAME  Name of a load; all if none is given.
 
-A variant sets constants: spread.PACK_COST=0, several joined by commas. Prints
-for each the mean difference of the worth that callers got, over the seeds, and
-its standard error, in thousandths, by sheet.
+A variant is a comma-separated list of constants such as planner.PACK_COST=0.
+Prints, by variant and sheet, the mean difference in the share of served worth
+over the seeds and its standard error, in thousandths.
 """
 
 import concurrent.futures
@@ -25,17 +25,17 @@
 
 from copperloom.decisions.tests import peaks, sheets
 
-__all__ = ["differences", "main", "spread_of"]
+__all__ = ["differences", "main", "mean_and_error"]
 
 _SECONDS = 20.0
-# Instances that place, and the way of a datagram between them.
+# Number of instances that place, and the delay of reports between them.
 _INSTANCES = 8
-_TOLD_AFTER_S = 0.0015
-_AS_IT_IS = ""
+_REPORT_DELAY_S = 0.0015
+_BASELINE = ""
 
 
 def _play(job: tuple[str, str, int, float]) -> float:
-    """Plays one seed in a process of its own; returns the worth got."""
+    """Plays one seed in a separate process; returns the share of worth."""
     variant, sheet, seed, burst = job
     for text in filter(None, variant.split(",")):
         peaks.set_constant(text)
@@ -46,7 +46,7 @@
         _SECONDS,
         burst,
         instances=_INSTANCES,
-        told_after_s=_TOLD_AFTER_S,
+        report_delay_s=_REPORT_DELAY_S,
     )
     return row["all"]
 
@@ -54,33 +54,45 @@
 def differences(
     variants: list[str], names: list[str], seeds: int, burst: float, jobs: int
 ) -> dict[tuple[str, str], list[float]]:
-    """Returns variant less as it is, by variant and sheet, for each seed."""
-    numbers = range(1, seeds + 1)
-    plays = [
+    """Returns the differences between variants and the baseline.
+
+    Args:
+        variants: The variants.
+        names: Names of the sheets.
+        seeds: Number of seeds.
+        burst: Factor of the rates during the burst.
+        jobs: Number of parallel runs.
+
+    Returns:
+        The differences of each seed, by variant and sheet.
+    """
+    seed_range = range(1, seeds + 1)
+    runs = [
         (variant, name, seed, burst)
         for name in names
-        for seed in numbers
-        for variant in (_AS_IT_IS, *variants)
+        for seed in seed_range
+        for variant in (_BASELINE, *variants)
     ]
-    # A fresh process for each play: constants that are set stay set.
+    # Each run has a fresh process, since a variant changes module constants.
     with concurrent.futures.ProcessPoolExecutor(
         jobs,
         mp_context=multiprocessing.get_context("spawn"),
         max_tasks_per_child=1,
     ) as pool:
-        got = dict(zip(plays, pool.map(_play, plays), strict=True))
+        worth = dict(zip(runs, pool.map(_play, runs), strict=True))
     return {
         (variant, name): [
-            got[variant, name, seed, burst] - got[_AS_IT_IS, name, seed, burst]
-            for seed in numbers
+            worth[variant, name, seed, burst]
+            - worth[_BASELINE, name, seed, burst]
+            for seed in seed_range
         ]
         for variant in variants
         for name in names
     }
 
 
-def spread_of(values: list[float]) -> tuple[float, float]:
-    """Returns mean and standard error."""
+def mean_and_error(values: list[float]) -> tuple[float, float]:
+    """Returns the mean and its standard error."""
     mean = statistics.fmean(values)
     if len(values) < 2:
         return mean, math.inf
@@ -88,7 +100,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the tool."""
+    """Runs the command."""
     args = docopt.docopt(__doc__, argv)
     names = args["--sheet"] or list(sheets.SHEETS)
     variants = args["VARIANT"]
@@ -102,7 +114,7 @@
     for variant in variants:
         cells = []
         for name in names:
-            mean, error = spread_of(found[variant, name])
+            mean, error = mean_and_error(found[variant, name])
             cells.append(f"{name} {1000 * mean:+.0f}±{1000 * error:.0f}")
         print(f"{variant}: {', '.join(cells)}")
     return 0
--- a/copperloom/decisions/tests/test_peak.py
+++ b/copperloom/decisions/tests/test_peak.py
@@ -1,4 +1,4 @@
-"""Plays the heaviest loads against placement, and looks at what callers get."""
+"""Placement at peak loads, on emulated engines."""
 
 import dataclasses
 import random
@@ -20,12 +20,14 @@
 
 
 def _shares(served) -> dict[str, float]:
-    """Returns the share of each kind of prompt that was served in time."""
+    """Returns the share of each kind of prompt that met its objectives."""
     shares = {}
     for name, prompt in (("short", SHORT), ("middle", MIDDLE), ("long", LONG)):
-        kind = [s for s in served if s.arrival.prompt == prompt]
-        if kind:
-            shares[name] = sum(s.in_time() for s in kind) / len(kind)
+        of_kind = [s for s in served if s.arrival.prompt == prompt]
+        if of_kind:
+            shares[name] = sum(s.meets_objectives() for s in of_kind) / len(
+                of_kind
+            )
     return shares
 
 
@@ -36,87 +38,70 @@
 
 
 class PeakTest(unittest.TestCase):
-    """Shares in time by kind; before (least requests) and after (harm).
-
-    | load | least requests | by harm |
-    | --- | --- | --- |
-    | short at the peak, few long | short 0.96, long 0.00 | 1.00, 1.00 |
-    | long at the peak, few short | short 0.80, long 0.00 | 0.90, 1.00 |
-    """
-
-    def test_short_prompts_at_the_peak(self):
-        """Load: 34 short prompts a second, some middle and few long ones."""
+    def test_few_long_prompts_at_a_peak_of_short_ones(self):
+        """Long prompts must not delay short ones, nor miss their objectives."""
         rates = {SHORT: 34.0, MIDDLE: 0.4, LONG: 0.2}
         before = _shares(_play(rates, emulator.least_requests))
-        after = _shares(_play(rates, emulator.spread_by_harm))
+        after = _shares(_play(rates, emulator.place_by_cost))
         self.assertGreater(after["short"], 0.95)
         self.assertGreater(after["short"], before["short"])
         self.assertGreater(after["long"], before["long"])
 
-    def test_long_prompts_at_the_peak(self):
-        """Load: 1.2 long prompts a second among five short ones."""
+    def test_few_short_prompts_at_a_peak_of_long_ones(self):
+        """Short prompts must not be blocked behind long prefills."""
         rates = {SHORT: 5.0, MIDDLE: 0.9, LONG: 1.2}
         before = _shares(_play(rates, emulator.least_requests))
-        after = _shares(_play(rates, emulator.spread_by_harm))
+        after = _shares(_play(rates, emulator.place_by_cost))
         self.assertGreater(after["long"], 0.75)
         self.assertGreater(after["middle"], before["middle"])
         self.assertGreater(after["short"], before["short"])
 
-    def test_answers_are_gathered(self):
-        """Load: 20 short prompts a second, one middle and 0.8 long ones.
-
-        Answers that stand at every engine are in the way of every long part.
-        Short prompts in time without and with gathering: 0.93 and 0.99.
-        """
+    def test_packed_decodes_leave_engines_free_for_long_prompts(self):
+        """Decodes at every engine would be interrupted by every long part."""
         rates = {SHORT: 20.0, MIDDLE: 1.0, LONG: 0.8}
         with mock.patch.object(planner, "PACK_COST", 0.0):
-            before = _shares(_play(rates, emulator.spread_by_harm, 2))
-        after = _shares(_play(rates, emulator.spread_by_harm, 2))
+            before = _shares(_play(rates, emulator.place_by_cost, 2))
+        after = _shares(_play(rates, emulator.place_by_cost, 2))
         self.assertGreater(after["short"], 0.98)
         self.assertGreater(after["short"] - before["short"], 0.05)
         self.assertGreater(after["long"], 0.9)
 
-    def test_placements_are_told_at_once(self):
-        """Load: 40 short prompts a second at eight instances, few long ones.
+    def test_quick_reports_of_placements_avoid_full_engines(self):
+        """Instances without recent reports choose the same engine.
 
-        Answers are gathered, so instances that have not heard of each other's
-        last placements choose the same engine, and whoever comes to a full one
-        waits for an answer there to end.
+        Decodes are packed, so a request may reach a full engine, where it waits
+        for a slot.
         """
         rates = {SHORT: 40.0, MIDDLE: 0.8, LONG: 0.1}
         late = [0, 0]
         for seed in (1, 2, 3):
-            for number, told_after_s in enumerate((0.005, 0.001)):
+            for number, report_delay_s in enumerate((0.005, 0.001)):
                 served = _play(
                     rates,
-                    emulator.spread_by_harm,
+                    emulator.place_by_cost,
                     seed,
                     instances=8,
-                    told_after_s=told_after_s,
+                    report_delay_s=report_delay_s,
                 )
                 short = [s for s in served if s.arrival.prompt == SHORT]
-                late[number] += sum(not s.in_time() for s in short)
+                late[number] += sum(not s.meets_objectives() for s in short)
         self.assertLess(late[1], 0.6 * late[0])
 
-    def test_short_prompts_are_hardly_slowed_by_long_ones(self):
-        """Load: the same short prompts with and without long ones beside."""
-        alone = _play({SHORT: 14.0}, emulator.spread_by_harm)
-        mixed = _play({SHORT: 14.0, LONG: 0.4}, emulator.spread_by_harm)
-        slow = _quantile(mixed, 0.99) / _quantile(alone, 0.99)
-        self.assertLess(slow, 1.2)
-
-    def test_over_capacity_nothing_is_placed_for_ever(self):
-        """Load: four long prompts a second, twice what the engines can read.
+    def test_long_prompts_hardly_delay_short_ones(self):
+        """The tail latency of short prompts must not depend on long ones."""
+        alone = _play({SHORT: 14.0}, emulator.place_by_cost)
+        mixed = _play({SHORT: 14.0, LONG: 0.4}, emulator.place_by_cost)
+        slowdown = _quantile(mixed, 0.99) / _quantile(alone, 0.99)
+        self.assertLess(slowdown, 1.2)
 
-        All that are served come to an end, and short ones still get through.
-        """
+    def test_short_prompts_are_served_during_an_overload_of_long_ones(self):
+        """Prefills beyond the capacity must not starve short prompts."""
         rates = {SHORT: 5.0, LONG: 4.0}
-        served = _play(rates, emulator.spread_by_harm)
+        served = _play(rates, emulator.place_by_cost)
         shares = _shares(served)
         self.assertGreater(shares["short"], 0.3)
 
-    def test_one_slow_engine_gets_less(self):
-        """Load: one of the engines failed of late and may fail again."""
+    def test_recently_failed_engine_is_avoided(self):
         engines = [
             plans.Candidate(f"e{n}", inflight.TargetLoad(), 0.0, 8)
             for n in range(4)
--- a/copperloom/decisions/tests/test_planner.py
+++ b/copperloom/decisions/tests/test_planner.py
@@ -136,7 +136,6 @@
         self.assertIs(planner.least_loaded(engines, random.Random(1)), engines)
 
     def test_busy_engines_of_many_are_left_out(self):
-        """Load: 60 engines, of which 30 write and read."""
         busy = {f"e{n}": _decoding(4) for n in range(30)}
         picked = planner.least_loaded(_engines(60, **busy), random.Random(1))
         self.assertEqual(len(picked), planner.MAX_CANDIDATES)
--- a/copperloom/decisions/tests/test_sweep.py
+++ b/copperloom/decisions/tests/test_sweep.py
@@ -1,4 +1,4 @@
-"""Variants are compared with the same seeds, each in a process of its own."""
+"""Comparison of variants with the same seeds, each in its own process."""
 
 import math
 import unittest
@@ -8,13 +8,13 @@
 
 
 class SweepTest(unittest.TestCase):
-    def test_same_constant_makes_no_difference(self):
-        same = f"planner.PACK_COST={planner.PACK_COST}"
-        found = sweep.differences([same], ["short-only"], 2, 0.2, 2)
-        self.assertEqual(found, {(same, "short-only"): [0.0, 0.0]})
+    def test_unchanged_constant_makes_no_difference(self):
+        unchanged = f"planner.PACK_COST={planner.PACK_COST}"
+        found = sweep.differences([unchanged], ["short-only"], 2, 0.2, 2)
+        self.assertEqual(found, {(unchanged, "short-only"): [0.0, 0.0]})
 
-    def test_mean_and_its_error(self):
-        mean, error = sweep.spread_of([0.1, 0.3])
+    def test_mean_and_standard_error(self):
+        mean, error = sweep.mean_and_error([0.1, 0.3])
         self.assertAlmostEqual(mean, 0.2)
         self.assertAlmostEqual(error, 0.1)
-        self.assertEqual(sweep.spread_of([0.5]), (0.5, math.inf))
+        self.assertEqual(sweep.mean_and_error([0.5]), (0.5, math.inf))
--- a/copperloom/decisions/tests/test_together.py
+++ b/copperloom/decisions/tests/test_together.py
@@ -1,4 +1,4 @@
-"""A burst of long prompts: all engines of near data centres, or a third."""
+"""Long prompts on the engines of one or of several data centres."""
 
 import random
 import statistics
@@ -12,13 +12,13 @@
 _DATA_CENTRES = 3
 
 
-def _divided(sheet: sheets.Sheet, load, rng: random.Random):
-    """Plays each data centre's callers on its own engines alone."""
+def _play_separately(sheet: sheets.Sheet, load, rng: random.Random):
+    """Plays the load with each data centre using its own engines only."""
     parts = [[] for _ in range(_DATA_CENTRES)]
     for arrival in load:
         rng.choice(parts).append(arrival)
     engines = sheet.engines // _DATA_CENTRES
-    place = emulator.spread_by_harm
+    place = emulator.place_by_cost
     return [
         served
         for part in parts
@@ -28,22 +28,20 @@
     ]
 
 
-class TogetherTest(unittest.TestCase):
-    def test_burst_of_the_longest_prompts(self):
-        """Prompts of 300,000 tokens and more come 2.6 times as often.
-
-        Clumped at one data centre they wait for each other there, while the
-        engines of the next one, half a millisecond away, are free.
-        """
+class LowLatencyDataCentresTest(unittest.TestCase):
+    def test_one_pool_serves_a_burst_of_long_prompts_better(self):
+        """Separately, long prompts queue while nearby engines are idle."""
         sheet = sheets.SHEETS["wroclaw-shifted"]
         gains = []
         for seed in _SEEDS:
             rng = random.Random(seed)
             load = sheets.arrivals(sheet, rng, _SECONDS, _BURST)
-            place = emulator.spread_by_harm(sheet.spec)
-            whole = emulator.play(sheet.spec, sheet.engines, load, place)
-            together = sheets.worth_share(sheet, whole)
-            apart = sheets.worth_share(sheet, _divided(sheet, load, rng))
-            self.assertGreaterEqual(together["long"], apart["long"])
-            gains.append(together["all"] - apart["all"])
+            place = emulator.place_by_cost(sheet.spec)
+            served = emulator.play(sheet.spec, sheet.engines, load, place)
+            pooled = sheets.worth_share(sheet, served)
+            separate = sheets.worth_share(
+                sheet, _play_separately(sheet, load, rng)
+            )
+            self.assertGreaterEqual(pooled["long"], separate["long"])
+            gains.append(pooled["all"] - separate["all"])
         self.assertGreater(statistics.fmean(gains), 0.01)
