--- a/copperloom/decisions/decode_rate.py
+++ b/copperloom/decisions/decode_rate.py
@@ -25,18 +25,18 @@
     """The latest gaps between tokens of one stream at one target.
 
     Attributes:
-        pauses: The gaps in seconds, the latest last.
+        gaps_s: The gaps in seconds, the latest last.
     """
 
     def __init__(self):
-        self.pauses: collections.deque[float] = collections.deque(
+        self.gaps_s: collections.deque[float] = collections.deque(
             maxlen=MIN_GAPS
         )
 
 
 def record_pause(recent: RecentPauses, pause_s: float) -> None:
     """Records the time between two events, in seconds."""
-    recent.pauses.append(pause_s)
+    recent.gaps_s.append(pause_s)
 
 
 def is_slow(
@@ -50,11 +50,11 @@
         engine: Figures of the service's engines.
         prompt_tokens: Tokens of the stream's prompt.
     """
-    if len(recent.pauses) < MIN_GAPS:
+    if len(recent.gaps_s) < MIN_GAPS:
         return False
     context = int(engine.kv_tokens * BUSY_SHARE) + prompt_tokens
     full_s = iterations.iteration_s(engine, engine.slots, context)
-    if min(recent.pauses) < SLOW_FACTOR * full_s:
+    if min(recent.gaps_s) < SLOW_FACTOR * full_s:
         return False
-    recent.pauses.clear()
+    recent.gaps_s.clear()
     return True
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -77,7 +77,7 @@
         objective = decode.pause_aim_s
         objectives[objective] = objectives.get(objective, 0.0) + decode.worth
     before = time.decode_only_s + time.queued_prefill_s
-    lost = sum(w * _gap_loss(aim, before) for aim, w in objectives.items())
+    lost = sum(w * _gap_loss(o, before) for o, w in objectives.items())
     return DecodeLoss(tuple(objectives.items()), lost)
 
 
--- a/copperloom/decisions/planner.py
+++ b/copperloom/decisions/planner.py
@@ -28,6 +28,7 @@
 # Numbers of parts that are tried, along with the largest possible one: between
 # large numbers the length of a part hardly differs.
 PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14)
+# Prefill time below which a prompt is not split further.
 SHORTEST_PART_S = 0.02
 # Engines evaluated for one prompt; about twice as many as take part in one.
 MAX_CANDIDATES = 34
--- a/copperloom/decisions/tests/test_spillover.py
+++ b/copperloom/decisions/tests/test_spillover.py
@@ -122,7 +122,7 @@
             spilling += _short_worth_share(
                 sheet, load, _Placer(sheet, may_spill=True)
             )
-            place = emulator.spread_by_harm(sheet.spec)
+            place = emulator.place_by_cost(sheet.spec)
             pooled += _short_worth_share(sheet, load, place)
         self.assertLess(local_only, pooled)
         self.assertGreater(spilling - local_only, (pooled - local_only) / 2)
