--- a/copperloom/decisions/tests/control.py
+++ b/copperloom/decisions/tests/control.py
@@ -32,7 +32,7 @@
 __all__ = ["WAYS", "Way", "main", "messages", "play"]
 
 _NEVER_S = math.inf
-# Interval of an engine's load reports.
+# Age of the engines' load reports when a request is placed.
 _ENGINE_REPORT_S = 0.2
 # Delay of reports between instances: batching of changes and the network.
 _PEER_REPORT_S = 0.005
