--- a/copperloom/controllers/reservation_owners.py
+++ b/copperloom/controllers/reservation_owners.py
@@ -1,10 +1,11 @@
-"""Consent of an engine's owner to long work.
-
-One entry of the engine's data centre keeps the engine's reservations, chosen
-by rendezvous hash over the members that are live. Two entries may both think
-that they own an engine for a while, since each has its own view; the book
-opens late and looks at the engine's own account first, and the engine refuses
-what does not fit, so that a wrong view costs time, not memory.
+"""Reservations of engine memory for long requests, granted by owners.
+
+Each engine has one owner, which keeps its reservations: a live entry of the
+engine's data centre, chosen by rendezvous hashing. Entries may have different
+views of the membership, so two of them may both act as the owner for a while.
+A new owner therefore grants nothing for one reservation lifetime and until it
+has read the engine's list of streams, and the engine refuses what does not
+fit. A wrong view causes delay but never overcommits memory.
 """
 
 import asyncio
@@ -21,40 +22,39 @@
 from copperloom.targets import interface
 
 __all__ = [
-    "give_back",
     "grant",
     "owned",
     "owner_of",
     "release",
+    "release_reservations",
     "reserve",
     "step",
 ]
 
-_CALL_S = 1.0
-_STREAMS_S = 1.0
-# Streams are named by their request, -ATTEMPT and .PART; reservations by the
-# request alone, so that a second attempt does not count twice.
-_ATTEMPT = re.compile(r"-\d+(\.\w+)?$")
+_CALL_TIMEOUT_S = 1.0
+_STREAMS_TIMEOUT_S = 1.0
+# A stream is named REQUEST-ATTEMPT.PART, a reservation only REQUEST, so that a
+# second attempt is not counted twice.
+_ATTEMPT_SUFFIX = re.compile(r"-\d+(\.\w+)?$")
 
 
 def owner_of(state, target: str, now: float) -> str:
     """Returns the instance that keeps a target's reservations.
 
-    Live members of the target's data centre come first, since they have the
-    shortest way to it; all members if there are none.
+    Chooses among the live members in the target's data centre, for low
+    latency, or among all live members if there are none there.
     """
     tgt = state.cfg.targets.get(target)
     centre = tgt.data_centre if tgt else ""
-    return _choose(_names_for(_candidates(state, now), centre), target)
+    return _choose_owner(_instances_in(_candidates(state, now), centre), target)
 
 
 def owned(state, now: float) -> dict[str, configuration.Target]:
     """Returns the engines that this entry owns, by name.
 
-    Load: 1,400 targets and 370 members, every few seconds. Harm prevented:
-    `owner_of` for each target goes through all members each time, which alone
-    took more than the processor time allowed for control. The members are
-    gone through once, and only targets are hashed that this entry may own.
+    Equivalent to calling `owner_of` for each engine, but lists the members
+    only once and hashes only the engines that this entry may own, since
+    large fleets make the repeated listing expensive.
     """
     own = state.settings.entry.instance
     candidates = _candidates(state, now)
@@ -62,19 +62,19 @@
     for tgt in state.cfg.targets.values():
         if tgt.kind is not configuration.TargetKind.ENGINE:
             continue
-        names = _names_for(candidates, tgt.data_centre)
-        if own in names and _choose(names, tgt.name) == own:
+        names = _instances_in(candidates, tgt.data_centre)
+        if own in names and _choose_owner(names, tgt.name) == own:
             found[tgt.name] = tgt
     return found
 
 
 async def step(state, now: float) -> None:
-    """Opens and closes books as owners change, and renews what is in flight."""
-    mine = owned(state, now)
-    for target in state.book.ledgers.keys() - mine.keys():
+    """Updates the ledgers of owned engines and renews own reservations."""
+    engines = owned(state, now)
+    for target in state.book.ledgers.keys() - engines.keys():
         reservation.close_target(state.book, target)
         event("owner_closed", target=target)
-    for name, tgt in mine.items():
+    for name, tgt in engines.items():
         if name not in state.book.ledgers:
             event("owner_opened", target=name)
         reservation.open_target(
@@ -89,37 +89,37 @@
     if state.releases:
         member.spawn(state, "release", _flush(state))
     await asyncio.gather(
-        *(_look(state, tgt) for tgt in mine.values()),
+        *(_update_streams(state, tgt) for tgt in engines.values()),
         *(_renew(state, placement) for placement in list(state.held.values())),
     )
 
 
 async def reserve(state, placement: messages.Placement, now: float) -> None:
-    """Asks the owners of all targets for memory; all of them or none.
+    """Reserves memory at all targets of a placement, or at none.
 
-    The targets are asked in the order of their names: two groups that want
-    the same engines in different orders would else each hold half and both
-    be refused.
+    The owners are called in the order of the target names. Otherwise two
+    placements on the same engines could each reserve some of them and both be
+    refused.
 
     Raises:
-        copperloom.exception.CapacityExceededError: An owner has no memory.
-        copperloom.exception.PeerUnavailableError: An owner gave no answer, or
-            another entry owns the target by now.
+        copperloom.exception.CapacityExceededError: A target lacks memory.
+        copperloom.exception.PeerUnavailableError: An owner did not reply, or
+            is no longer the owner of the target.
     """
     state.held[placement.request.id] = placement
     try:
-        for target, tokens in _in_order(placement):
+        for target, tokens in _sorted_targets(placement):
             await _reserve_one(state, placement, target, tokens, now)
     except BaseException:
-        # Also when the caller went away: what was granted must not stay.
+        # BaseException, since a cancelled request must not keep reservations.
         await release(state, placement)
         raise
 
 
 async def release(state, placement: messages.Placement) -> None:
-    """Gives reservations back; the calls to owners run beside.
+    """Releases a placement's reservations; calls owners in the background.
 
-    An owner that can't be told loses the reservation by its expiry.
+    A reservation whose owner cannot be reached ends when it expires.
     """
     state.held.pop(placement.request.id, None)
     for target in placement.targets:
@@ -128,76 +128,82 @@
 
 
 def grant(
-    state, asked: peers_pb2.ReserveRequest, now: float
+    state, req: peers_pb2.ReserveRequest, now: float
 ) -> peers_pb2.ReserveReply:
-    """Answers as the owner; the owner's limit on life applies."""
-    if owner_of(state, asked.target, now) != state.settings.entry.instance:
+    """Grants or renews a reservation as the target's owner.
+
+    A request for zero tokens renews. The lifetime is limited by this entry's
+    own setting.
+    """
+    if owner_of(state, req.target, now) != state.settings.entry.instance:
         return peers_pb2.ReserveReply(not_owner=True)
-    ttl_s = min(asked.ttl_ms / 1000, state.settings.targets.reservation_s)
-    if not asked.tokens:
-        held = reservation.renew(
-            state.book, asked.target, asked.stream, ttl_s, now
+    ttl_s = min(req.ttl_ms / 1000, state.settings.targets.reservation_s)
+    if not req.tokens:
+        renewed = reservation.renew(
+            state.book, req.target, req.stream, ttl_s, now
         )
-        return peers_pb2.ReserveReply(granted=held)
-    given = reservation.reserve(
-        state.book, asked.target, asked.stream, asked.tokens, ttl_s, now
+        return peers_pb2.ReserveReply(granted=renewed)
+    result = reservation.reserve(
+        state.book, req.target, req.stream, req.tokens, ttl_s, now
     )
     return peers_pb2.ReserveReply(
-        granted=given.granted,
-        not_owner=given.not_owner,
-        retry_after_ms=int(given.retry_after_s * 1000),
+        granted=result.granted,
+        not_owner=result.not_owner,
+        retry_after_ms=int(result.retry_after_s * 1000),
     )
 
 
-def give_back(state, asked: peers_pb2.ReleaseRequest) -> None:
-    """Takes reservations back as the owner."""
-    reservation.release(state.book, asked.target, asked.streams)
+def release_reservations(state, req: peers_pb2.ReleaseRequest) -> None:
+    """Releases reservations as the target's owner."""
+    reservation.release(state.book, req.target, req.streams)
 
 
-def _in_order(placement: messages.Placement) -> list[tuple[str, int]]:
+def _sorted_targets(placement: messages.Placement) -> list[tuple[str, int]]:
     return sorted(zip(placement.targets, placement.tokens, strict=True))
 
 
 def _candidates(state, now: float) -> dict[str | None, list[str]]:
-    """Returns live instances by data centre, and all of them under None."""
+    """Returns live instances by data centre; None maps to all of them."""
     own = state.settings.entry
-    found = [(m.instance, m.data_centre) for m in member.live(state, now)]
-    if not state.draining or not found:
-        found.append((own.instance, own.data_centre))
-    out: dict[str | None, list[str]] = {None: [name for name, _ in found]}
-    for name, centre in found:
-        out.setdefault(centre, []).append(name)
-    return out
+    live = [(m.instance, m.data_centre) for m in member.live(state, now)]
+    if not state.draining or not live:
+        live.append((own.instance, own.data_centre))
+    by_centre: dict[str | None, list[str]] = {None: [name for name, _ in live]}
+    for name, centre in live:
+        by_centre.setdefault(centre, []).append(name)
+    return by_centre
 
 
-def _names_for(
+def _instances_in(
     candidates: dict[str | None, list[str]], centre: str
 ) -> list[str]:
     return candidates.get(centre) or candidates[None]
 
 
-def _choose(names: list[str], target: str) -> str:
-    """Chooses by rendezvous hash, so that all entries choose alike."""
+def _choose_owner(names: list[str], target: str) -> str:
+    """Chooses by rendezvous hashing, with the same result at all entries."""
     return max(
         names, key=lambda n: xxhash.xxh64_intdigest(f"{n}/{target}".encode())
     )
 
 
 async def _reserve_one(state, placement, target, tokens, now) -> None:
-    reply = await _ask_owner(state, placement, target, tokens, now)
+    reply = await _call_owner(state, placement, target, tokens, now)
     if reply.granted:
         return
     if reply.not_owner:
-        raise exception.PeerUnavailableError(f"owner of {target} is changing")
+        raise exception.PeerUnavailableError(
+            f"ownership of {target} is changing"
+        )
     raise exception.CapacityExceededError(
-        f"{target} has no memory for {tokens} tokens",
+        f"{target} has no free memory for {tokens} tokens",
         retry_after_s=max(reply.retry_after_ms / 1000, 0.05),
     )
 
 
-async def _ask_owner(state, placement, target, tokens, now):
+async def _call_owner(state, placement, target, tokens, now):
     owner = owner_of(state, target, now)
-    ask = peers_pb2.ReserveRequest(
+    req = peers_pb2.ReserveRequest(
         instance=state.settings.entry.instance,
         boot=state.boot,
         target=target,
@@ -206,29 +212,31 @@
         ttl_ms=int(state.settings.targets.reservation_s * 1000),
     )
     if owner == state.settings.entry.instance:
-        return grant(state, ask, now)
+        return grant(state, req, now)
     return await digest_exchange.call(
-        state, owner, "Reserve", ask, timeout_s=_CALL_S
+        state, owner, "Reserve", req, timeout_s=_CALL_TIMEOUT_S
     )
 
 
 async def _renew(state, placement: messages.Placement) -> None:
-    """Prolongs reservations; what an owner has lost stays lost.
+    """Renews a placement's reservations, without restoring lost ones.
 
-    A renewal that made them again could overtake a release, and the memory
-    would be refused to others until it runs out. Work that was sent is in the
-    engine's account, so its owner needs no reservation to count it.
+    A renewal that creates a reservation could arrive after its release and
+    block the memory until it expires. It is not needed either: the owner
+    counts running streams by the engine's list.
     """
     now = asyncio.get_running_loop().time()
     for target in sorted(placement.targets):
         with contextlib.suppress(exception.PeerUnavailableError):
-            await _ask_owner(state, placement, target, 0, now)
+            await _call_owner(state, placement, target, 0, now)
 
 
-async def _look(state, tgt: configuration.Target) -> None:
-    """Takes in the engine's own account of its streams."""
+async def _update_streams(state, tgt: configuration.Target) -> None:
+    """Updates the ledger with the streams that the engine lists."""
     try:
-        streams = await state.targets.streams(tgt.address, timeout_s=_STREAMS_S)
+        streams = await state.targets.streams(
+            tgt.address, timeout_s=_STREAMS_TIMEOUT_S
+        )
     except exception.CopperloomError as error:
         event("account_unknown", target=tgt.name, code=error.code)
         return
@@ -236,23 +244,23 @@
     reservation.seen(
         state.book,
         tgt.name,
-        _by_request(streams),
+        _merge_attempts(streams),
         now,
         short_tokens=state.cfg.preset.short_prompt_tokens,
     )
 
 
-def _by_request(
+def _merge_attempts(
     streams: list[interface.StreamInfo],
 ) -> list[interface.StreamInfo]:
     merged: dict[str, interface.StreamInfo] = {}
     for info in streams:
-        name = _ATTEMPT.sub("", info.stream)
-        had = merged[name].kv_tokens if name in merged else 0
+        name = _ATTEMPT_SUFFIX.sub("", info.stream)
+        earlier = merged[name].kv_tokens if name in merged else 0
         merged[name] = interface.StreamInfo(
             name,
             info.owner,
-            had + info.kv_tokens,
+            earlier + info.kv_tokens,
             info.attached,
             info.idle_s,
         )
@@ -260,16 +268,16 @@
 
 
 async def _flush(state) -> None:
-    """Sends releases, gathered by target, until none are left."""
+    """Sends pending releases, one call per target, until none are left."""
     while state.releases:
         target, streams = state.releases.popitem()
         now = asyncio.get_running_loop().time()
         owner = owner_of(state, target, now)
-        ask = peers_pb2.ReleaseRequest(target=target, streams=sorted(streams))
+        req = peers_pb2.ReleaseRequest(target=target, streams=sorted(streams))
         if owner == state.settings.entry.instance:
-            give_back(state, ask)
+            release_reservations(state, req)
             continue
         with contextlib.suppress(exception.PeerUnavailableError):
             await digest_exchange.call(
-                state, owner, "Release", ask, timeout_s=_CALL_S
+                state, owner, "Release", req, timeout_s=_CALL_TIMEOUT_S
             )
--- a/copperloom/controllers/tests/test_reservation_owners.py
+++ b/copperloom/controllers/tests/test_reservation_owners.py
@@ -1,4 +1,4 @@
-"""Consent of an engine's owner to long work, over several entries."""
+"""Tests of reservations granted by engine owners among several entries."""
 
 import asyncio
 import time
@@ -11,10 +11,10 @@
 from copperloom.decisions import reservation
 from copperloom.peers import peers_pb2
 
-_KV = 1000
-# The default preset leaves nine tenths of an engine to long work.
-_LONG = 900
-_BOUND_S = 10.0
+_KV_TOKENS = 1000
+# The default preset allows long requests nine tenths of an engine.
+_LONG_TOKENS = 900
+_TIMEOUT_S = 10.0
 
 
 def placement(name: str, *targets: str, tokens: int = 600):
@@ -45,7 +45,7 @@
         await changes.make_change(
             self.fleet[0].platform,
             self.fleet[0].cfg,
-            tuple(fixtures.target(n, kv_tokens=_KV) for n in names),
+            tuple(fixtures.target(n, kv_tokens=_KV_TOKENS) for n in names),
             (),
             operator="olga",
             note="",
@@ -54,14 +54,18 @@
             wall_time_s=0.0,
             timeout_s=5.0,
         )
-        await fixtures.until(self.all_open, _BOUND_S)
+        await fixtures.until(self.all_open, _TIMEOUT_S)
 
     def owner(self, target):
         now = time.monotonic()
-        told = {reservation_owners.owner_of(e, target, now) for e in self.fleet}
-        if len(told) != 1:
+        owners = {
+            reservation_owners.owner_of(e, target, now) for e in self.fleet
+        }
+        if len(owners) != 1:
             return None
-        return next(e for e in self.fleet if e.settings.entry.instance in told)
+        return next(
+            e for e in self.fleet if e.settings.entry.instance in owners
+        )
 
     def free(self, target):
         owner = self.owner(target)
@@ -79,7 +83,7 @@
     async def reserve(self, entry, placed):
         await reservation_owners.reserve(entry, placed, time.monotonic())
 
-    async def test_all_entries_agree_and_share_the_work(self):
+    async def test_entries_agree_on_owners_and_share_targets(self):
         names = {
             self.owner(t).settings.entry.instance
             for t in self.fleet[0].cfg.targets
@@ -90,11 +94,10 @@
         self.assertEqual(sum(map(len, owned)), len(self.fleet[0].cfg.targets))
         self.assertEqual(set.union(*owned), set(self.fleet[0].cfg.targets))
 
-    async def test_memory_is_not_promised_twice(self):
-        """Two entries want more of one engine than it has.
+    async def test_owner_does_not_overcommit_memory(self):
+        """Guards against overcommitment when two entries see an idle engine.
 
-        Both reports say that it is empty. Its owner grants one and tells the
-        other when to come back; a release lets it in.
+        The second entry is refused until the first releases its reservation.
         """
         first, second = self.fleet[0], self.fleet[1]
         one = placement("e0.b.1", "t0")
@@ -104,23 +107,26 @@
             await self.reserve(second, two)
         self.assertGreater(caught.exception.retry_after_s, 0)
         await reservation_owners.release(first, one)
-        await fixtures.until(lambda: self.free("t0") == _LONG, _BOUND_S)
+        await fixtures.until(
+            lambda: self.free("t0") == _LONG_TOKENS, _TIMEOUT_S
+        )
         await self.reserve(second, two)
 
-    async def test_group_gets_all_or_nothing(self):
+    async def test_placement_reserves_all_targets_or_none(self):
         for entry in self.fleet:
-            # So long that only a release can give the memory back in time.
+            # Long enough that the memory is not freed by expiry.
             object.__setattr__(entry.settings.targets, "reservation_s", 60.0)
         entry = self.fleet[0]
         await self.reserve(entry, placement("e0.b.1", "t5"))
         with self.assertRaises(exception.CapacityExceededError):
             await self.reserve(entry, placement("e0.b.2", "t5", "t1", "t0"))
         await fixtures.until(
-            lambda: self.free("t0") == self.free("t1") == _LONG, _BOUND_S
+            lambda: self.free("t0") == self.free("t1") == _LONG_TOKENS,
+            _TIMEOUT_S,
         )
 
-    async def test_crossed_groups_do_not_block_each_other(self):
-        """Two groups want the same engines in different orders, again."""
+    async def test_placements_in_different_order_do_not_block_each_other(self):
+        """Guards against two placements that each reserve half the engines."""
         for number in range(5):
             one = placement(f"e0.b.{number}", "t0", "t1", "t2")
             two = placement(f"e1.b.{number}", "t2", "t1", "t0")
@@ -133,55 +139,58 @@
             await reservation_owners.release(self.fleet[0], one)
             await reservation_owners.release(self.fleet[1], two)
             await fixtures.until(
-                lambda: all(self.free(t) == _LONG for t in ("t0", "t1", "t2")),
-                _BOUND_S,
+                lambda: all(
+                    self.free(t) == _LONG_TOKENS for t in ("t0", "t1", "t2")
+                ),
+                _TIMEOUT_S,
             )
 
     async def test_reservation_is_renewed_while_in_flight(self):
         await self.reserve(self.fleet[0], placement("e0.b.1", "t0"))
-        life_s = self.fleet[0].settings.targets.reservation_s
-        end = time.monotonic() + 2 * life_s
+        lifetime_s = self.fleet[0].settings.targets.reservation_s
+        end = time.monotonic() + 2 * lifetime_s
         while time.monotonic() < end:
-            self.assertEqual(self.free("t0"), _LONG - 600)
+            self.assertEqual(self.free("t0"), _LONG_TOKENS - 600)
             await asyncio.sleep(0.05)
 
-    async def test_late_renewal_brings_nothing_back(self):
-        """A renewal is under way when its work ends, and comes last."""
+    async def test_late_renewal_does_not_restore_a_reservation(self):
+        """Guards against memory blocked by a renewal after its release."""
         owner = self.owner("t0")
         entry = next(e for e in self.fleet if e is not owner)
         placed = placement("x.b.1", "t0")
         await self.reserve(entry, placed)
-        kept = []
+        calls = []
 
-        async def keep(state, instance, method, message, *, timeout_s):
-            kept.append(message)
+        async def hold_back(state, instance, method, message, *, timeout_s):
+            calls.append(message)
             return peers_pb2.ReserveReply(granted=True)
 
-        with mock.patch.object(digest_exchange, "call", keep):
+        with mock.patch.object(digest_exchange, "call", hold_back):
             await reservation_owners.step(entry, time.monotonic())
         await reservation_owners.release(entry, placed)
-        await fixtures.until(lambda: self.free("t0") == _LONG, _BOUND_S)
-        late = [m for m in kept if m.stream == placed.request.id]
+        await fixtures.until(
+            lambda: self.free("t0") == _LONG_TOKENS, _TIMEOUT_S
+        )
+        late = [m for m in calls if m.stream == placed.request.id]
         self.assertTrue(late)
         reservation_owners.grant(owner, late[0], time.monotonic())
-        self.assertEqual(self.free("t0"), _LONG)
+        self.assertEqual(self.free("t0"), _LONG_TOKENS)
 
-    async def test_dead_entry_loses_its_reservations(self):
+    async def test_reservations_of_a_dead_entry_expire(self):
         dead = next(e for e in self.fleet if e is not self.owner("t0"))
         await self.reserve(dead, placement("x.b.1", "t0"))
-        self.assertEqual(self.free("t0"), _LONG - 600)
+        self.assertEqual(self.free("t0"), _LONG_TOKENS - 600)
         owner = self.owner("t0")
         await fleet.stop(dead)
         await fixtures.until(
-            lambda: reservation.free_tokens(owner.book, "t0") == _LONG,
-            _BOUND_S,
+            lambda: reservation.free_tokens(owner.book, "t0") == _LONG_TOKENS,
+            _TIMEOUT_S,
         )
 
-    async def test_new_owner_waits_for_the_old_ones_grants(self):
-        """The owner of an engine dies with a grant that is not used yet.
+    async def test_new_owner_waits_for_grants_of_the_old_owner_to_expire(self):
+        """Guards against memory granted by a dead owner and again by the next.
 
-        The next owner knows nothing of it. It grants nothing for the life of
-        a reservation, after which the grant is used or has run out.
+        The new owner grants nothing for one reservation lifetime.
         """
         old = self.owner("t0")
         entry = next(e for e in self.fleet if e is not old)
@@ -197,7 +206,7 @@
                 exception.CapacityExceededError,
                 exception.PeerUnavailableError,
             ):
-                self.assertLess(time.monotonic() - stopped, _BOUND_S)
+                self.assertLess(time.monotonic() - stopped, _TIMEOUT_S)
                 await asyncio.sleep(0.05)
-        life_s = entry.settings.targets.reservation_s
-        self.assertGreaterEqual(time.monotonic() - stopped, life_s)
+        lifetime_s = entry.settings.targets.reservation_s
+        self.assertGreaterEqual(time.monotonic() - stopped, lifetime_s)
--- a/copperloom/peers/server.py
+++ b/copperloom/peers/server.py
@@ -66,7 +66,7 @@
 
     async def Release(self, stream) -> None:  # noqa: N802
         asked = await self.receive(stream)
-        reservation_owners.give_back(self.state, asked)
+        reservation_owners.release_reservations(self.state, asked)
         await self.send(stream, peers_pb2.ReleaseReply(), asked)
 
     async def Fetch(self, stream) -> None:  # noqa: N802
