--- a/copperloom/controllers/leases.py
+++ b/copperloom/controllers/leases.py
@@ -1,13 +1,13 @@
 """Leases on targets in the platform's table, with fencing numbers.
 
-No clock is compared with another's. A holder trusts its lease for half its
-length, by its own monotonic clock, counted from before it sent the write that
-took or renewed it. Another takes over only after it has seen the row
-unchanged for the whole length. So the two overlap only if one clock runs at
-less than half the speed of the other, or if a holder is paused between its
-last look at the clock and the sending of an order; the fencing number, which
-grows with each holder, is for that case. docs/design/orders.md says what it
-does at engines that ignore it.
+Clocks of different machines are never compared. A holder uses its lease for
+half the lease duration by its own monotonic clock, counted from before it sent
+the write that acquired or renewed the lease. Another entry acquires the lease
+only after it has observed the row unchanged for the full duration. Two holders
+therefore overlap only if one clock runs at less than half the speed of the
+other, or if a holder is paused between its last check of the clock and the
+sending of an order. The fencing number, which grows with each holder, covers
+these cases; docs/design/orders.md describes engines that ignore it.
 """
 
 import asyncio
@@ -16,13 +16,12 @@
 from copperloom import exception
 from copperloom.platform import interface
 
-__all__ = ["LEASE_S", "Lease", "Leases", "acquire", "drop", "is_good"]
+__all__ = ["LEASE_S", "Lease", "Leases", "acquire", "drop", "is_valid"]
 
-# Long enough for a few lost or slow writes before a holder has to stop, short
-# enough that orders of a dead holder are given by another within half a
-# minute; no caller waits for an order.
+# Long enough to survive a few lost or slow writes, short enough for another
+# entry to replace a failed holder soon. No caller waits for an order.
 LEASE_S = 20.0
-_RENEW_LEFT_S = LEASE_S / 4
+_RENEWAL_MARGIN_S = LEASE_S / 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,41 +29,51 @@
     """A lease that this entry holds.
 
     Attributes:
-        target: The target's name.
-        fencing: Goes with each order.
-        version: Of the row, to renew it.
-        good_until: Monotonic time until which orders may be sent.
+        target: Name of the target.
+        fencing: Fencing number, sent with each order.
+        version: Version of the row, the condition of the next renewal.
+        valid_until: Monotonic time until which orders may be sent.
     """
 
     target: str
     fencing: int
     version: int
-    good_until: float
+    valid_until: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Watch:
-    """Another's lease: the row's version and since when it is the same."""
+class _Observation:
+    """The lease row of another holder, as this entry observed it.
+
+    Attributes:
+        version: Version of the row.
+        since: Monotonic time when this version was first read.
+    """
 
     version: int
     since: float
 
 
 class Leases:
-    """Leases held and watched, by target."""
+    """Leases of one entry.
+
+    Attributes:
+        held: Leases that this entry holds, by target.
+        observed: Lease rows of other holders, by target.
+    """
 
     def __init__(self):
         self.held: dict[str, Lease] = {}
-        self.watched: dict[str, _Watch] = {}
+        self.observed: dict[str, _Observation] = {}
 
 
-def is_good(lease: Lease, now: float) -> bool:
+def is_valid(lease: Lease, now: float) -> bool:
     """Returns whether an order may be sent under a lease."""
-    return now < lease.good_until
+    return now < lease.valid_until
 
 
 def drop(leases: Leases, target: str) -> None:
-    """Forgets a lease, for example since an engine saw a higher number."""
+    """Stops using a lease, for example after an engine has refused it."""
     leases.held.pop(target, None)
 
 
@@ -76,51 +85,51 @@
     *,
     timeout_s: float,
 ) -> Lease | None:
-    """Takes or renews a lease.
+    """Acquires or renews a lease.
 
     Args:
-        leases: The state.
-        platform: The platform's functions.
+        leases: Leases of this entry.
+        platform: Client of the platform.
         owner: INSTANCE.BOOT of this entry.
-        target: The target's name.
-        timeout_s: Time limit of one call.
+        target: Name of the target.
+        timeout_s: Timeout of one platform call, in seconds.
 
     Returns:
-        The lease, good at the time of return, or None if another holds it or
-        the platform gave no sure answer.
+        The lease, valid at the time of return, or None if another entry holds
+        it or the outcome of a platform call is unknown.
     """
     loop = asyncio.get_running_loop()
     held = leases.held.get(target)
-    if held is not None and held.good_until - loop.time() > _RENEW_LEFT_S:
+    if held is not None and held.valid_until - loop.time() > _RENEWAL_MARGIN_S:
         return held
     try:
         row = await platform.read(f"lease/{target}", timeout_s=timeout_s)
-        if not _may_take(leases, row, owner, target, loop.time()):
+        if not _may_acquire(leases, row, owner, target, loop.time()):
             return None
         lease = await _write(platform, row, owner, target, timeout_s)
     except exception.CopperloomError:
-        # Also if the write may have taken effect: the next try then reads the
-        # row with this entry as its holder, and renews it.
+        # If the write took effect nevertheless, the next call finds this entry
+        # as the holder and renews the lease.
         return None
-    if lease is None or not is_good(lease, loop.time()):
+    if lease is None or not is_valid(lease, loop.time()):
         return None
     leases.held[target] = lease
-    leases.watched.pop(target, None)
+    leases.observed.pop(target, None)
     return lease
 
 
-def _may_take(
+def _may_acquire(
     leases: Leases, row: interface.Row, owner: str, target: str, now: float
 ) -> bool:
-    """Returns whether the row is free, this entry's own, or lapsed."""
+    """Returns whether the row is free, held by this entry, or expired."""
     if not row.version or row.value["holder"] == owner:
         return True
     leases.held.pop(target, None)
-    watch = leases.watched.get(target)
-    if watch is None or watch.version != row.version:
-        leases.watched[target] = _Watch(row.version, now)
+    observation = leases.observed.get(target)
+    if observation is None or observation.version != row.version:
+        leases.observed[target] = _Observation(row.version, now)
         return False
-    return now - watch.since >= LEASE_S
+    return now - observation.since >= LEASE_S
 
 
 async def _write(
@@ -130,13 +139,13 @@
     target: str,
     timeout_s: float,
 ) -> Lease | None:
-    before = asyncio.get_running_loop().time()
-    old = row.value or {"holder": "", "fencing": 0, "renewed": 0}
-    same = old["holder"] == owner
+    sent_at = asyncio.get_running_loop().time()
+    current = row.value or {"holder": "", "fencing": 0, "renewed": 0}
+    is_renewal = current["holder"] == owner
     value = {
         "holder": owner,
-        "fencing": old["fencing"] + (0 if same else 1),
-        "renewed": old["renewed"] + 1 if same else 0,
+        "fencing": current["fencing"] + (0 if is_renewal else 1),
+        "renewed": current["renewed"] + 1 if is_renewal else 0,
     }
     result = await platform.transact(
         [interface.Condition(row.key, row.version)],
@@ -146,5 +155,5 @@
     if not result.committed:
         return None
     return Lease(
-        target, value["fencing"], row.version + 1, before + LEASE_S / 2
+        target, value["fencing"], row.version + 1, sent_at + LEASE_S / 2
     )
--- a/copperloom/controllers/model_orders.py
+++ b/copperloom/controllers/model_orders.py
@@ -1,9 +1,10 @@
-"""Orders engines to load the models that they are to serve.
+"""Orders engines to load their configured models.
 
-One entry at a time gives orders to an engine: the engine's owner, under a
-lease (copperloom.controllers.leases). It compares what the configuration
-wants with what the engine reports and orders the difference, so that an order
-that was lost, or that an old holder gave late, is made good at a later look.
+An order is a command to an engine, sent under a lease with a fencing number
+(see copperloom.controllers.leases), so that only one entry at a time commands
+an engine. The engine's owner compares the configured models with those that
+the engine reports and orders the missing ones. An order that was lost, or a
+late one of a previous holder, is corrected by a later comparison.
 """
 
 import asyncio
@@ -16,28 +17,28 @@
 __all__ = [
     "CompletedOrders",
     "Orders",
-    "send_order",
     "interval_s",
     "missing_models",
+    "send_order",
     "step",
 ]
 
 _STEP_S = 1.0
 _ORDER_TIMEOUT_S = 60.0
-# An engine's report lags, so an order that was obeyed is not repeated before
-# it can have shown; an engine that restarted is ordered anew at once.
-_SETTLE_S = 10.0
+# Load reports lag, so a completed order is not repeated for this duration
+# unless the engine has restarted.
+_REPORT_LAG_S = 10.0
 _RETRY_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletedOrders:
-    """Models that an engine obeyed to load.
+    """Models that an engine has loaded by order.
 
     Attributes:
-        boot: The engine's boot then.
-        models: All models ordered in this boot.
-        at: Monotonic time of the last of these orders.
+        boot: Boot of the engine that completed the orders.
+        models: All models ordered during this boot.
+        at: Monotonic time when the last of these orders was completed.
     """
 
     boot: str
@@ -46,18 +47,18 @@
 
 
 class Orders:
-    """What this entry knows of its orders.
+    """State of the orders that this entry sends.
 
     Attributes:
-        leases: Leases held and watched.
-        given: Orders obeyed, by target.
-        not_before: Time before which a target gets no order.
-        busy: Targets that are being ordered now.
+        leases: Leases on targets.
+        completed: Completed orders, by target.
+        not_before: Monotonic time before which a target gets no order.
+        busy: Targets with an order in progress.
     """
 
     def __init__(self):
         self.leases = leases.Leases()
-        self.given: dict[str, CompletedOrders] = {}
+        self.completed: dict[str, CompletedOrders] = {}
         self.not_before: dict[str, float] = {}
         self.busy: set[str] = set()
 
@@ -70,35 +71,37 @@
 def missing_models(
     tgt: configuration.Target,
     report: interface.LoadReport,
-    given: CompletedOrders | None,
+    completed: CompletedOrders | None,
     now: float,
 ) -> list[str]:
-    """Returns the models that an engine should load, in a fixed order.
+    """Returns the models that an engine lacks, in configuration order.
 
     Args:
-        tgt: What the configuration wants.
-        report: What the engine last said.
-        given: What it obeyed last.
-        now: Monotonic seconds.
+        tgt: The engine's configuration.
+        report: The engine's last load report.
+        completed: The engine's completed orders.
+        now: Monotonic time in seconds.
     """
-    seen = set(report.models)
-    fresh = given is not None and now - given.at < _SETTLE_S
-    if fresh and given.boot == report.boot:
-        seen |= given.models
-    return [model for model in tgt.serves if model not in seen]
+    loaded = set(report.models)
+    is_recent = completed is not None and now - completed.at < _REPORT_LAG_S
+    if is_recent and completed.boot == report.boot:
+        loaded |= completed.models
+    return [model for model in tgt.serves if model not in loaded]
 
 
 async def step(state, now: float) -> None:
-    """Starts an order at each owned engine that lacks a model."""
+    """Orders one missing model at each owned engine, in the background."""
     own = state.settings.entry.instance
     for name, report in state.reports.items():
         tgt = state.cfg.targets.get(name)
         if tgt is None or not _may_order(state, tgt, now):
             continue
-        wanted = missing_models(tgt, report, state.orders.given.get(name), now)
-        if wanted and reservation_owners.owner_of(state, name, now) == own:
+        missing = missing_models(
+            tgt, report, state.orders.completed.get(name), now
+        )
+        if missing and reservation_owners.owner_of(state, name, now) == own:
             state.orders.busy.add(name)
-            task = asyncio.create_task(_load(state, tgt, report, wanted[0]))
+            task = asyncio.create_task(_load(state, tgt, report, missing[0]))
             state.background.add(task)
             task.add_done_callback(state.background.discard)
 
@@ -122,7 +125,7 @@
     wait_s = 0.0
     try:
         if await send_order(state, tgt, "load_model", model):
-            _note(state, tgt.name, report.boot, model, loop.time())
+            _record_completed(state, tgt.name, report.boot, model, loop.time())
         else:
             wait_s = _RETRY_S
     except exception.CopperloomError as error:
@@ -136,58 +139,62 @@
         state.orders.busy.discard(tgt.name)
 
 
-def _note(state, target: str, boot: str, model: str, now: float) -> None:
-    given = state.orders.given.get(target)
+def _record_completed(
+    state, target: str, boot: str, model: str, now: float
+) -> None:
+    completed = state.orders.completed.get(target)
     models = frozenset([model])
-    if given is not None and given.boot == boot:
-        models |= given.models
-    state.orders.given[target] = CompletedOrders(boot, models, now)
+    if completed is not None and completed.boot == boot:
+        models |= completed.models
+    state.orders.completed[target] = CompletedOrders(boot, models, now)
 
 
 async def send_order(
     state, tgt: configuration.Target, kind: str, value: str
 ) -> bool:
-    """Gives one order under the target's lease.
+    """Sends one order under the target's lease.
 
     Args:
         state: The entry's state.
         tgt: The engine.
-        kind: As in `interface.Order`.
-        value: As in `interface.Order`.
+        kind: Kind of the order, as in `interface.Order`.
+        value: Value of the order, as in `interface.Order`.
 
     Returns:
-        False if another entry holds the lease or it could not be had.
+        Whether the order was completed; False if the lease is held by another
+        entry, could not be acquired, or expired before sending.
 
     Raises:
-        copperloom.exception.RateLimitedError: The weight store's rate.
+        copperloom.exception.RateLimitedError: The rate limit of the weight
+            store is exceeded.
         copperloom.exception.OrderRefusedError: The engine has seen a higher
             fencing number.
-        copperloom.exception.CopperloomError: The engine was not reached, or
-            gave no answer.
+        copperloom.exception.CopperloomError: The engine was not reached or
+            did not reply.
     """
     timeout_s = state.settings.platform.timeout_s
-    held = await leases.acquire(
+    lease = await leases.acquire(
         state.orders.leases,
         state.platform,
         state.owner,
         tgt.name,
         timeout_s=timeout_s,
     )
-    if held is None:
+    if lease is None:
         return False
     if kind != "set_role":
         await state.platform.acquire_weights(1, timeout_s=timeout_s)
-    # The last look at the clock before the order goes out: nothing waits
-    # between here and the sending.
-    if not leases.is_good(held, asyncio.get_running_loop().time()):
+    # Nothing may be awaited between this check and the sending, or the lease
+    # could expire in between.
+    if not leases.is_valid(lease, asyncio.get_running_loop().time()):
         return False
     logs.event(
-        "order", target=tgt.name, kind=kind, value=value, fencing=held.fencing
+        "order", target=tgt.name, kind=kind, value=value, fencing=lease.fencing
     )
     try:
         await state.targets.order(
             tgt.address,
-            interface.Order(kind, value, held.fencing),
+            interface.Order(kind, value, lease.fencing),
             timeout_s=_ORDER_TIMEOUT_S,
         )
     except exception.OrderRefusedError:
--- a/copperloom/controllers/tests/engines.py
+++ b/copperloom/controllers/tests/engines.py
@@ -1,4 +1,4 @@
-"""Fixtures: an entry's state in this process before engine stand-ins."""
+"""Test fixtures: an entry's state connected to stand-in engines."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 async def start_engines(case, count: int, **changes) -> dict:
-    """Starts engines; returns their servers by target name."""
+    """Starts stand-in engines and returns their servers by target name."""
     return {
         f"g{i}": await fixtures.start_engine(case, **changes)
         for i in range(count)
@@ -38,11 +38,11 @@
     """Returns the state of an entry that owns all engines.
 
     Args:
-        case: Ends its client and background tasks.
-        addresses: Of the engines, by target name.
-        instance: The entry's name.
-        platform: A platform's functions, if it needs any.
-        polls_per_s: Most load reports asked for in a second.
+        case: Test case whose cleanup ends the client and background tasks.
+        addresses: Addresses of the engines, by target name.
+        instance: Name of the entry's instance.
+        platform: Client of the platform, if the test needs one.
+        polls_per_s: Maximum number of load reports requested per second.
     """
     settings = options.EntrySettings(
         options.EntrySection(instance=instance),
@@ -71,7 +71,7 @@
 
 
 def target(name: str, address: str, **changes) -> configuration.Target:
-    """Returns a small engine that is to serve model m."""
+    """Returns the configuration of a small engine that serves model m."""
     fields = {"serves": ("m",), "kv_tokens": 10_000, **changes}
     return configuration.Target(name, address, **fields)
 
@@ -85,7 +85,7 @@
 
 
 def placement(names: list[str], tokens: list[int]) -> messages.Placement:
-    """Returns a placement over some targets."""
+    """Returns the placement of a long request on several targets."""
     req = messages.Request(
         id="e0.b.1",
         organisation="org",
