--- a/copperloom/controllers/cancels.py
+++ b/copperloom/controllers/cancels.py
@@ -1,9 +1,9 @@
-"""Cancels that engines have not confirmed yet.
+"""Cancels of streams that engines have not confirmed yet.
 
-A stream's memory is lost for the length of its answer, and that of a held
-part for good, if its cancel is lost. So a cancel is kept, by engine, until
-the engine confirms it. An engine that restarted confirms a name that it does
-not know, so a changed boot needs no case of its own.
+A lost cancel would waste the memory of a stream until its answer ends, and
+leak that of a held part. Each cancel is therefore retried until its engine
+confirms it. A restarted engine confirms cancels of unknown streams, so a new
+boot needs no special handling.
 """
 
 import asyncio
@@ -18,40 +18,40 @@
 
 _TIMEOUT_S = 2.0
 _FIRST_RETRY_S = 0.2
-# Longer would let an engine that came back wait for its memory; shorter would
-# have hundreds of entries knock at a dead engine all the time.
-_MOST_RETRY_S = 10.0
-# An engine that no configuration names, and that takes no connection for this
-# long, is gone with its memory.
-_GIVE_UP_S = 60.0
+# Limits the load of all entries' retries on a failed engine, and the delay
+# until a recovered one gets its memory back.
+_MAX_RETRY_S = 10.0
+# Cancels at an engine that is no longer configured are dropped if it has not
+# replied for this duration.
+_ABANDON_AFTER_S = 60.0
 
 
 @dataclasses.dataclass(eq=False)
 class _Engine:
-    """What is to be cancelled at one engine.
+    """Unconfirmed cancels of one engine. Times are monotonic, in seconds.
 
     Attributes:
-        due: Stream names to the time from which they may be cancelled.
-        retry_at: Time before which it is left alone.
-        failures: Tries since it last answered.
-        silent_since: When the first of these failed.
-        task: What works on it now.
+        due: Time from which each stream may be cancelled, by stream name.
+        retry_at: Time before which the engine is not called.
+        failures: Failed calls since the last successful one.
+        failing_since: Time of the first of these failures.
+        task: Task that sends the cancels, if one was started.
     """
 
     due: dict[str, float] = dataclasses.field(default_factory=dict)
     retry_at: float = float("-inf")
     failures: int = 0
-    silent_since: float = 0.0
+    failing_since: float = 0.0
     task: asyncio.Task | None = None
 
 
 class Cancels:
-    """All unconfirmed cancels of an entry.
+    """Unconfirmed cancels of an entry.
 
     Attributes:
-        engines: By address.
+        engines: Engines with unconfirmed cancels, by address.
         rng: Source of the jitter.
-        confirmed: Cancels that engines confirmed.
+        confirmed: Number of cancels that engines have confirmed.
     """
 
     def __init__(self, rng: random.Random):
@@ -61,13 +61,13 @@
 
 
 def add(cancels: Cancels, address: str, stream: str, due: float) -> None:
-    """Keeps a cancel from `due` on until its engine confirms it."""
+    """Adds a cancel that is to be sent from the monotonic time `due` on."""
     engine = cancels.engines.setdefault(address, _Engine())
     engine.due[stream] = min(due, engine.due.get(stream, due))
 
 
 def pending(cancels: Cancels) -> int:
-    """Returns how many cancels are not confirmed."""
+    """Returns the number of unconfirmed cancels."""
     return sum(len(engine.due) for engine in cancels.engines.values())
 
 
@@ -76,38 +76,39 @@
     targets: Targets,
     now: float,
     *,
-    configured: Callable[[str], bool],
+    is_configured: Callable[[str], bool],
     spawn: Callable[..., asyncio.Task],
 ) -> None:
-    """Starts work on each engine that has a cancel due.
+    """Starts a task for each engine that has a cancel due.
 
-    One task works on an engine, one cancel after the other, and stops at the
-    first failure: a frozen engine costs one call at a time, however many
-    streams it had.
+    The task of an engine sends one cancel at a time and ends at the first
+    failure, so that an unresponsive engine costs a single call at a time.
 
     Args:
-        cancels: The state.
-        targets: The targets' functions.
-        now: Monotonic seconds.
-        configured: Tells whether an address is a configured target's.
-        spawn: Makes a task of a coroutine.
+        cancels: Unconfirmed cancels of the entry.
+        targets: Client of the targets.
+        now: Monotonic time in seconds.
+        is_configured: Returns whether a configured target has an address.
+        spawn: Starts a task for a coroutine.
     """
     for address, engine in list(cancels.engines.items()):
-        if _hopeless(engine, now) and not configured(address):
+        if _is_abandoned(engine, now) and not is_configured(address):
             logs.event("cancels_given_up", address=address, n=len(engine.due))
             del cancels.engines[address]
             continue
-        free = engine.task is None or engine.task.done()
-        ready = any(due <= now for due in engine.due.values())
-        if free and ready and engine.retry_at <= now:
-            engine.task = spawn(_work(cancels, engine, targets, address))
+        is_idle = engine.task is None or engine.task.done()
+        has_due = any(due <= now for due in engine.due.values())
+        if is_idle and has_due and engine.retry_at <= now:
+            engine.task = spawn(
+                _retry_engine(cancels, engine, targets, address)
+            )
 
 
-def _hopeless(engine: _Engine, now: float) -> bool:
-    return engine.failures > 0 and now - engine.silent_since > _GIVE_UP_S
+def _is_abandoned(engine: _Engine, now: float) -> bool:
+    return engine.failures > 0 and now - engine.failing_since > _ABANDON_AFTER_S
 
 
-async def _work(
+async def _retry_engine(
     cancels: Cancels, engine: _Engine, targets: Targets, address: str
 ) -> None:
     loop = asyncio.get_running_loop()
@@ -119,7 +120,7 @@
         try:
             await targets.cancel(address, name, timeout_s=_TIMEOUT_S)
         except exception.CopperloomError as error:
-            _put_off(cancels, engine, loop.time())
+            _back_off(cancels, engine, loop.time())
             logs.event(
                 "cancel_failed", stream=name, address=address, code=error.code
             )
@@ -131,9 +132,9 @@
         del cancels.engines[address]
 
 
-def _put_off(cancels: Cancels, engine: _Engine, now: float) -> None:
+def _back_off(cancels: Cancels, engine: _Engine, now: float) -> None:
     if not engine.failures:
-        engine.silent_since = now
-    wait_s = min(_FIRST_RETRY_S * 2**engine.failures, _MOST_RETRY_S)
+        engine.failing_since = now
+    delay_s = min(_FIRST_RETRY_S * 2**engine.failures, _MAX_RETRY_S)
     engine.failures += 1
-    engine.retry_at = now + wait_s * cancels.rng.uniform(0.5, 1.0)
+    engine.retry_at = now + delay_s * cancels.rng.uniform(0.5, 1.0)
--- a/copperloom/controllers/orphans.py
+++ b/copperloom/controllers/orphans.py
@@ -1,98 +1,115 @@
-"""Tells which streams of an engine nobody can be serving any more.
+"""Detects engine streams that no live entry serves any more.
 
-docs/design/reclaim.md says why each condition is enough.
+docs/design/reclaim.md explains why each condition suffices.
 """
 
 import dataclasses
 
 from copperloom.targets.interface import StreamInfo
 
-__all__ = ["Owners", "is_orphan", "note"]
+__all__ = ["OwnerBoots", "is_orphan", "record"]
 
 
-# Far longer than any `dead_s` that makes sense.
-_FORGET_S = 7200.0
+# Must exceed any configured `dead_s`.
+_RETENTION_S = 7200.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Seen:
+class _CurrentBoot:
+    """The last boot of an instance that sent a message.
+
+    Attributes:
+        boot: Name of the boot.
+        since: Monotonic time of its first message since another boot's.
+        last_received_at: Monotonic time of its last message.
+    """
+
     boot: str
     since: float
-    last: float
+    last_received_at: float
 
 
-class Owners:
-    """Boots of the other entries, as far as this one heard of them directly.
+class OwnerBoots:
+    """Boots of entries from which this entry has received messages directly.
 
     Attributes:
-        started: Since when this entry listens, in monotonic seconds.
-        heard: By INSTANCE.BOOT, when it was last heard.
-        current: By instance, the boot heard last, since when without a
-            break by another boot, and when last.
+        started_at: Monotonic time when this entry began to receive messages.
+        last_received_at: Monotonic time of the last message, by
+            INSTANCE.BOOT.
+        current: The boot that sent the last message, by instance.
     """
 
-    def __init__(self, started: float):
-        self.started = started
-        self.heard: dict[str, float] = {}
-        self.current: dict[str, _Seen] = {}
+    def __init__(self, started_at: float):
+        self.started_at = started_at
+        self.last_received_at: dict[str, float] = {}
+        self.current: dict[str, _CurrentBoot] = {}
 
 
-def note(owners: Owners, instance: str, boot: str, at: float) -> None:
-    """Takes in that an entry was heard at a time; safe to repeat."""
+def record(owners: OwnerBoots, instance: str, boot: str, at: float) -> None:
+    """Records that an entry sent a message at a time; idempotent."""
     name = f"{instance}.{boot}"
-    owners.heard[name] = max(at, owners.heard.get(name, at))
-    seen = owners.current.get(instance)
-    if seen is None or seen.boot != boot:
-        if seen is None or seen.last < at:
-            owners.current[instance] = _Seen(boot, at, at)
-            _forget(owners, at - _FORGET_S)
-    elif seen.last < at:
-        owners.current[instance] = dataclasses.replace(seen, last=at)
-
-
-def _forget(owners: Owners, before: float) -> None:
-    """Drops boots long silent; unknown ones count as silent just the same."""
-    for name, at in list(owners.heard.items()):
+    owners.last_received_at[name] = max(
+        at, owners.last_received_at.get(name, at)
+    )
+    latest = owners.current.get(instance)
+    if latest is None or latest.boot != boot:
+        if latest is None or latest.last_received_at < at:
+            owners.current[instance] = _CurrentBoot(boot, at, at)
+            _remove_silent(owners, at - _RETENTION_S)
+    elif latest.last_received_at < at:
+        owners.current[instance] = dataclasses.replace(
+            latest, last_received_at=at
+        )
+
+
+def _remove_silent(owners: OwnerBoots, before: float) -> None:
+    """Removes boots that are long silent, as unknown boots count as silent."""
+    for name, at in list(owners.last_received_at.items()):
         if at < before:
-            del owners.heard[name]
+            del owners.last_received_at[name]
 
 
 def is_orphan(
-    owners: Owners, info: StreamInfo, now: float, *, dead_s: float
+    owners: OwnerBoots, info: StreamInfo, now: float, *, dead_s: float
 ) -> bool:
-    """Returns whether a stream may be cancelled in its owner's place.
-
-    Load: an engine lists at most its batch, and only its owner asks.
+    """Returns whether a stream may be cancelled on behalf of its owner.
 
-    The harm on one side is memory that nobody frees, on the other an answer
-    cut off under its reader. A stream that nobody reads, as the engine itself
-    tells, for longer than any owner waits between two tries to read it, hurts
-    nobody. `dead_s` is that limit: it is longer than an entry keeps a stream
-    for a caller to fetch, and than it waits between two touches of a held
-    part. Silence towards this entry is asked for besides, since a live owner
-    cancels by itself.
+    Cancelling too early cuts off an answer that a caller still reads; never
+    cancelling leaks engine memory. A stream without a reader is an orphan once
+    it has been idle for `dead_s` according to the engine. That is longer than
+    an entry keeps a stream for its caller to resume, and than the interval at
+    which it touches a held part. Its owner must have been silent for `dead_s`
+    as well, since a live owner cancels its streams itself.
 
-    A stream that is read may only be cancelled if its owner cannot be alive:
-    another boot has answered for the instance, and none but this, for all of
-    `dead_s`. Its reader is then a connection whose end was never told.
+    A stream with a reader is an orphan only if its owner cannot be alive:
+    another boot of the instance is live, and all messages of the instance in
+    the last `dead_s` came from it. The reader is then a broken connection that
+    the engine has not detected.
 
     Args:
-        owners: What was heard of the other entries.
-        info: The stream, as the engine listed it just now.
-        now: Monotonic seconds.
-        dead_s: Silence after which an entry counts as gone.
+        owners: Boots of the entries and their last messages.
+        info: The stream, as listed by the engine just now.
+        now: Monotonic time in seconds.
+        dead_s: Silence in seconds after which an entry counts as dead.
     """
-    last = owners.heard.get(info.owner, owners.started)
-    if now - last < dead_s:
+    last_received_at = owners.last_received_at.get(
+        info.owner, owners.started_at
+    )
+    if now - last_received_at < dead_s:
         return False
     if not info.attached:
         return info.idle_s >= dead_s
     return _is_replaced(owners, info.owner, now, dead_s)
 
 
-def _is_replaced(owners: Owners, owner: str, now: float, dead_s: float) -> bool:
+def _is_replaced(
+    owners: OwnerBoots, owner: str, now: float, dead_s: float
+) -> bool:
     instance, _, boot = owner.rpartition(".")
-    seen = owners.current.get(instance)
-    if seen is None or seen.boot == boot:
+    current = owners.current.get(instance)
+    if current is None or current.boot == boot:
         return False
-    return now - seen.since >= dead_s and now - seen.last < dead_s
+    return (
+        now - current.since >= dead_s
+        and now - current.last_received_at < dead_s
+    )
--- a/copperloom/controllers/reclaim.py
+++ b/copperloom/controllers/reclaim.py
@@ -1,4 +1,4 @@
-"""Gives engines their memory back: own cancels and streams left behind."""
+"""Frees engine memory: cancels own streams and those of dead entries."""
 
 import asyncio
 import functools
@@ -10,9 +10,9 @@
 __all__ = ["cancel", "interval_s", "step"]
 
 _LIST_TIMEOUT_S = 2.0
-# A list older than this when it is acted on is dropped: this process may have
-# been paused, and somebody may have taken a stream over since.
-_LIST_FRESH_S = 1.0
+# An older list is ignored: if this process was paused, another entry may have
+# taken over a stream in the meantime.
+_MAX_LIST_AGE_S = 1.0
 
 
 def interval_s(state: EntryState) -> float:
@@ -23,55 +23,54 @@
 def cancel(
     state: EntryState, address: str, stream: str, *, delay_s: float = 0.0
 ) -> None:
-    """Cancels a stream, however often it must be tried.
-
-    Returns at once; the engine is told in the background.
+    """Cancels a stream in the background, with retries until confirmed.
 
     Args:
         state: The entry's state.
-        address: The engine's address.
-        stream: The stream's name; also one that may never have been opened.
-        delay_s: How long to leave it alone first.
+        address: Address of the engine.
+        stream: Name of the stream, which may never have been opened.
+        delay_s: Seconds to wait first. After a delay, the stream is cancelled
+            only if this entry still owns it.
     """
     if delay_s:
-        _spawn(state, _cancel_if_own(state, address, stream, delay_s))
+        _spawn(state, _cancel_if_owned(state, address, stream, delay_s))
         return
     now = asyncio.get_running_loop().time()
     cancels.add(state.cancels, address, stream, now)
     _run_due(state, now)
 
 
-async def _cancel_if_own(
+async def _cancel_if_owned(
     state: EntryState, address: str, stream: str, delay_s: float
 ) -> None:
-    """Cancels a stream later, unless another entry has taken it over.
+    """Cancels a stream after a delay, unless another entry has taken it over.
 
-    Its caller may have come back at another entry and read on there; this
-    one's cancel would cut that answer off. The engine knows who owns it.
+    The caller may have resumed its answer at another entry, where a cancel
+    would cut it off. The engine knows the current owner.
     """
     await asyncio.sleep(delay_s)
-    infos = []
+    streams = []
     while _is_configured(state, address):
         try:
-            infos = await state.targets.streams(
+            streams = await state.targets.streams(
                 address, timeout_s=_LIST_TIMEOUT_S
             )
             break
         except exception.CopperloomError:
             await asyncio.sleep(_LIST_TIMEOUT_S)
-    owner = next((i.owner for i in infos if i.stream == stream), "")
+    owner = next((i.owner for i in streams if i.stream == stream), "")
     if owner == state.owner:
         cancel(state, address, stream)
 
 
 async def step(state: EntryState, now: float) -> None:
-    """Tries unconfirmed cancels again and looks through owned engines."""
+    """Retries unconfirmed cancels and cancels orphans at owned engines."""
     _run_due(state, now)
-    _hear(state, now)
+    _record_boots(state, now)
     targets = state.cfg.targets
-    # The books that the owners controller keeps name the engines owned.
+    # The reservation book has a ledger for each engine that this entry owns.
     engines = [targets[n] for n in state.book.ledgers if n in targets]
-    await asyncio.gather(*(_look_through(state, tgt) for tgt in engines))
+    await asyncio.gather(*(_cancel_orphans(state, tgt) for tgt in engines))
 
 
 def _run_due(state: EntryState, now: float) -> None:
@@ -79,7 +78,7 @@
         state.cancels,
         state.targets,
         now,
-        configured=functools.partial(_is_configured, state),
+        is_configured=functools.partial(_is_configured, state),
         spawn=functools.partial(_spawn, state),
     )
 
@@ -95,34 +94,34 @@
     return task
 
 
-def _hear(state: EntryState, now: float) -> None:
-    """Takes over when the members controller last heard each peer.
+def _record_boots(state: EntryState, now: float) -> None:
+    """Records the boot and last message of each peer and of this entry.
 
-    This boot too, so that streams of an earlier boot of this instance count
-    as left behind like those of others.
+    With its own boot recorded, streams of an earlier boot of this instance are
+    recognised as orphans too.
     """
     instance = state.settings.entry.instance
-    orphans.note(state.orphans, instance, state.boot, now)
+    orphans.record(state.orphans, instance, state.boot, now)
     for name, member in state.members.items():
         if member.boot:
-            orphans.note(state.orphans, name, member.boot, member.heard_at)
+            orphans.record(state.orphans, name, member.boot, member.heard_at)
 
 
-async def _look_through(state: EntryState, tgt: configuration.Target) -> None:
+async def _cancel_orphans(state: EntryState, tgt: configuration.Target) -> None:
     loop = asyncio.get_running_loop()
-    asked = loop.time()
+    requested_at = loop.time()
     try:
-        infos = await state.targets.streams(
+        streams = await state.targets.streams(
             tgt.address, timeout_s=_LIST_TIMEOUT_S
         )
     except exception.CopperloomError:
-        # Nothing is known of its streams; the next step asks again.
+        # The next step lists the streams again.
         return
     now = loop.time()
-    if now - asked > _LIST_FRESH_S:
+    if now - requested_at > _MAX_LIST_AGE_S:
         return
     dead_s = state.settings.membership.dead_s
-    for info in infos:
+    for info in streams:
         if info.owner == state.owner:
             continue
         if orphans.is_orphan(state.orphans, info, now, dead_s=dead_s):
--- a/copperloom/controllers/tests/test_reclaim.py
+++ b/copperloom/controllers/tests/test_reclaim.py
@@ -1,4 +1,4 @@
-"""Engines get their memory back, by their own count."""
+"""Tests that engine memory is freed, according to the engines themselves."""
 
 import asyncio
 import unittest
@@ -10,23 +10,23 @@
 from copperloom.standins.tests import fixtures
 from copperloom.targets import interface
 
-_LIMIT_S = 10.0
-# Long enough that no answer ends by itself within a test.
+_TIMEOUT_S = 10.0
+# No answer of this length ends during a test.
 _LONG = {"max_tokens": 100_000, "prompt_tokens": 10}
 _SLOW = {"time_scale": 1.0}
 
 
-def _used(server) -> int:
+def _kv_used(server) -> int:
     return server.truth()["kv_used"]
 
 
-async def _steps(state, until) -> None:
-    """Runs the controller as the entry does, until a condition holds."""
+async def _step_until(state, condition) -> None:
+    """Runs steps of the controller until a condition holds."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + _LIMIT_S
-    while not until():
+    end = loop.time() + _TIMEOUT_S
+    while not condition():
         if loop.time() > end:
-            raise AssertionError("did not come true in time")
+            raise AssertionError("condition did not hold within the timeout")
         await reclaim.step(state, loop.time())
         await asyncio.sleep(0.05)
 
@@ -44,27 +44,26 @@
 
     def _open(self, stream="s"):
         req = fixtures.ask(stream, **_LONG)
-        return self.state.targets.open(self.address, req, timeout_s=_LIMIT_S)
+        return self.state.targets.open(self.address, req, timeout_s=_TIMEOUT_S)
 
     async def _fault(self, **changes):
         await control.control(self.proxy.addresses["listen"], **changes)
 
-    async def test_lost_reply(self):
-        # The engine takes the stream and the connection breaks before a byte
-        # of the reply. The caller gets "may have run", and the stream, whose
-        # name the entry chose, is cancelled all the same.
+    async def test_stream_is_cancelled_after_a_lost_reply(self):
+        # Guards against a leak when the engine has opened the stream but the
+        # connection breaks before the first byte of its reply.
         await control.control(
             self.engine.addresses["listen"], drop_reply_next=1
         )
         with self.assertRaises(exception.StreamBrokenError):
             await fixtures.read_all(self._open())
-        await fixtures.wait_until(lambda: _used(self.engine))
+        await fixtures.wait_until(lambda: _kv_used(self.engine))
         reclaim.cancel(self.state, self.address, "s")
-        await fixtures.wait_until(lambda: not _used(self.engine))
+        await fixtures.wait_until(lambda: not _kv_used(self.engine))
 
     async def test_cancel_is_tried_until_the_engine_confirms(self):
-        # The engine cannot be reached when the caller goes away, then only
-        # its replies are lost. One try would leave the memory taken.
+        # Guards against a leak when the engine is unreachable at first and its
+        # replies are lost afterwards.
         pieces = self._open()
         await anext(pieces)
         await self._fault(refuse=True, reset=True)
@@ -73,15 +72,15 @@
         await fixtures.wait_until(
             lambda: self.state.cancels.engines[self.address].failures
         )
-        self.assertTrue(_used(self.engine))
+        self.assertTrue(_kv_used(self.engine))
         await self._fault(refuse=False, cut_down_after=0)
-        await _steps(self.state, lambda: not _used(self.engine))
+        await _step_until(self.state, lambda: not _kv_used(self.engine))
         await self._fault(cut_down_after=-1)
-        await _steps(self.state, lambda: not self.state.cancels.engines)
+        await _step_until(self.state, lambda: not self.state.cancels.engines)
 
-    async def test_cancel_that_overtakes_its_start(self):
-        # The request hangs in the network when its time limit passes. Its
-        # cancel comes first by another connection; the start comes after it.
+    async def test_stream_does_not_start_after_its_cancel(self):
+        # Guards against a leak when the cancel overtakes a delayed request on
+        # another connection.
         await self._fault(hold_up=True)
         opening = asyncio.create_task(fixtures.read_all(self._open()))
         await fixtures.wait_until(
@@ -94,20 +93,20 @@
         with self.assertRaises(exception.TargetRefusedError):
             await opening
         self.assertEqual(self.engine.truth()["runs"], [])
-        self.assertEqual(_used(self.engine), 0)
+        self.assertEqual(_kv_used(self.engine), 0)
 
-    async def test_engine_that_restarted_confirms(self):
-        # The engine loses everything and comes back under its address. The
-        # cancel of a stream that it does not know must not be tried for ever.
+    async def test_restarted_engine_confirms_cancels(self):
+        # Guards against endless retries at a restarted engine, which does not
+        # know the stream any more.
         pieces = self._open()
         await anext(pieces)
         await control.control(self.engine.addresses["listen"], die=0.3)
         await pieces.aclose()
         reclaim.cancel(self.state, self.address, "s")
-        await _steps(self.state, lambda: not self.state.cancels.engines)
-        self.assertEqual(_used(self.engine), 0)
+        await _step_until(self.state, lambda: not self.state.cancels.engines)
+        self.assertEqual(_kv_used(self.engine), 0)
 
-    async def test_engine_that_is_gone_is_given_up(self):
+    async def test_cancels_are_dropped_for_a_removed_engine(self):
         await self._fault(refuse=True, reset=True)
         reclaim.cancel(self.state, self.address, "s")
         pending = self.state.cancels.engines[self.address]
@@ -121,18 +120,18 @@
 
 
 class OrphanTest(unittest.IsolatedAsyncioTestCase):
-    """Streams of entries that are gone."""
+    """Streams of dead entries."""
 
-    async def test_streams_left_behind(self):
-        # An entry dies with streams open. The engine goes on with them; what
-        # is read by another entry by now, or was a moment ago, stays.
+    async def test_streams_of_a_dead_entry_are_cancelled(self):
+        # Guards against a leak when an entry dies with open streams, and
+        # against the cancel of a stream that still has a reader.
         engine = await fixtures.start_engine(self, **_SLOW)
         address = engine.addresses["listen"]
         state = await engines.entry_state(self, {"g0": address})
         left = fixtures.ask("left", owner="e9.b9", **_LONG)
         kept = fixtures.ask("kept", owner="e8.b8", **_LONG)
         sources = [
-            state.targets.open(address, req, timeout_s=_LIMIT_S)
+            state.targets.open(address, req, timeout_s=_TIMEOUT_S)
             for req in (left, kept)
         ]
         for source in sources:
@@ -140,49 +139,49 @@
         await reclaim.step(state, 0.0)
         await sources[0].aclose()
         self.assertEqual(engine.truth()["streams"]["left"], "decode")
-        await _steps(
+        await _step_until(
             state, lambda: engine.truth()["streams"]["left"] == "cancelled"
         )
         self.assertEqual(engine.truth()["streams"]["kept"], "decode")
         await sources[1].aclose()
-        await _steps(state, lambda: not _used(engine))
+        await _step_until(state, lambda: not _kv_used(engine))
 
-    async def test_connection_left_by_an_earlier_boot(self):
-        # The machine of this instance vanished without a word and came back.
-        # The engine still counts the old connection as a reader.
+    async def test_stream_of_an_earlier_boot_is_cancelled(self):
+        # Guards against a leak after a crash of the instance: the engine still
+        # counts its old connection as a reader.
         engine = await fixtures.start_engine(self, **_SLOW)
         address = engine.addresses["listen"]
         state = await engines.entry_state(self, {"g0": address})
         req = fixtures.ask("s", owner="e0.old", **_LONG)
-        source = state.targets.open(address, req, timeout_s=_LIMIT_S)
+        source = state.targets.open(address, req, timeout_s=_TIMEOUT_S)
         await anext(source)
-        await _steps(state, lambda: not _used(engine))
+        await _step_until(state, lambda: not _kv_used(engine))
         await source.aclose()
 
-    def test_conditions(self):
-        # Times: this entry listens since 0; it is 100 now; gone after 15 s.
-        def orphan(*, attached=False, idle_s=50.0, heard=(), now=100.0):
-            owners = orphans.Owners(0.0)
-            for boot, at in heard:
-                orphans.note(owners, "e", boot, at)
+    def test_conditions_of_an_orphan(self):
+        # This entry has received messages since 0.
+        def orphan(*, attached=False, idle_s=50.0, received=(), now=100.0):
+            owners = orphans.OwnerBoots(0.0)
+            for boot, at in received:
+                orphans.record(owners, "e", boot, at)
             info = interface.StreamInfo("s", "e.old", 10, attached, idle_s)
             return orphans.is_orphan(owners, info, now, dead_s=15.0)
 
         self.assertTrue(orphan())
         self.assertFalse(orphan(idle_s=14.0))
-        self.assertFalse(orphan(heard=[("old", 90.0)]))
-        self.assertTrue(orphan(heard=[("old", 80.0)]))
-        # This entry has only just begun to listen.
+        self.assertFalse(orphan(received=[("old", 90.0)]))
+        self.assertTrue(orphan(received=[("old", 80.0)]))
+        # This entry has started less than dead_s ago.
         self.assertFalse(orphan(now=14.0))
-        # Read by somebody: only if another boot took its place for good.
+        # With a reader: only if another boot has replaced the owner.
         self.assertFalse(orphan(attached=True))
-        self.assertFalse(orphan(attached=True, heard=[("new", 99.0)]))
+        self.assertFalse(orphan(attached=True, received=[("new", 99.0)]))
         replaced = [("old", 10.0), ("new", 80.0), ("new", 99.0)]
-        self.assertTrue(orphan(attached=True, heard=replaced))
-        self.assertTrue(orphan(heard=replaced))
-        # A paused process woke up under its old boot: both may be alive.
-        woken = [*replaced, ("old", 99.5)]
-        self.assertFalse(orphan(attached=True, heard=woken))
-        # The new boot is silent too, so it proves nothing any more.
+        self.assertTrue(orphan(attached=True, received=replaced))
+        self.assertTrue(orphan(received=replaced))
+        # The old boot was only paused, so both may be alive.
+        resumed = [*replaced, ("old", 99.5)]
+        self.assertFalse(orphan(attached=True, received=resumed))
+        # The new boot is silent too, so it may not have replaced the old one.
         silent = [("old", 10.0), ("new", 40.0), ("new", 60.0)]
-        self.assertFalse(orphan(attached=True, heard=silent))
+        self.assertFalse(orphan(attached=True, received=silent))
--- a/copperloom/daemons/state.py
+++ b/copperloom/daemons/state.py
@@ -107,7 +107,7 @@
         self.wake = asyncio.Event()
         self.rng = random.Random(self.owner)
         self.cancels = cancels.Cancels(self.rng)
-        self.orphans = orphans.Owners(time.monotonic())
+        self.orphans = orphans.OwnerBoots(time.monotonic())
         self.reports: dict[str, LoadReport] = {}
         self.polling: set[str] = set()
         self.polled_at: dict[str, float] = {}
