--- a/copperloom/controllers/records.py
+++ b/copperloom/controllers/records.py
@@ -1,11 +1,11 @@
-"""Idempotency records: work that is not repeatable runs at most once a key.
-
-A record is a row that is inserted on the condition that there is none, with a
-random nonce, before anything goes to a target. Whoever finds another nonce in
-it does not run the work. A record is never taken over from a holder that may
-still act, however long that holder is silent: an entry that was paused for an
-hour and goes on then does no harm, since nobody ran the work in its place.
-Only a record whose holder wrote that nothing was run may be claimed again.
+"""Idempotency records: non-repeatable requests run at most once per key.
+
+Before anything is sent to a target, a record with a random nonce is inserted
+as a row, on the condition that the row does not exist. A request that finds
+another nonce there does not run. A record is never taken over from its holder,
+however long that is silent: the holder may only be paused and run the request
+later. The key may be claimed again only if the holder has recorded that the
+request did not run.
 """
 
 import asyncio
@@ -23,17 +23,17 @@
 __all__ = ["Claim", "Phase", "Record", "claim", "record_outcome"]
 
 _NONCE_BYTES = 12
-_RETRY_FIRST_S = 0.05
-_RETRY_MOST_S = 5.0
-_SETTLE_TRIES = 60
-# The end of an answer waits this long for its record: a caller that got the
-# whole answer then finds it again under its key. In an outage of the platform
-# the answer is not held back any longer; the record follows when it can.
-_SETTLE_WAIT_S = 0.5
+_FIRST_RETRY_S = 0.05
+_MAX_RETRY_S = 5.0
+_MAX_OUTCOME_TRIES = 60
+# The end of an answer is held back until its record is written, so that a
+# repeat of the request finds the answer. This bounds the delay in an outage of
+# the platform; the record is then written in the background.
+_OUTCOME_WAIT_S = 0.5
 
 
 class Phase:
-    """Phases of a record."""
+    """Phases of a request, as stored in its record."""
 
     STARTED = "started"
     NOT_RUN = "not_run"
@@ -46,19 +46,19 @@
     """The value of a record's row.
 
     Attributes:
-        nonce: Random text of the request that claimed it.
+        nonce: Random text that identifies the claim.
         digest: Digest of the request's body.
-        request: Request id of the holder.
-        phase: One of Phase.
-        code: Result code, once it is settled.
-        run: What is known of the run, once it has failed.
-        status: HTTP status of the kept answer.
-        content_type: Of the kept answer; "" if none is kept.
-        answer: The kept answer.
+        request: Id of the request that holds the record.
+        phase: One of the constants of Phase.
+        code: Result code, once the outcome is known.
+        run: Whether a failed request has run, as in `exception.Run`.
+        status: HTTP status of the stored answer.
+        content_type: Content type of the stored answer; "" if none is stored.
+        answer: The stored answer.
         finish: Why the answer ended.
-        tokens: Tokens in the answer.
-        wall_time_s: Seconds since the epoch when it was claimed, for the
-            sweep of old records only.
+        tokens: Number of tokens in the answer.
+        wall_time_s: Time of the claim in seconds since the epoch; used only to
+            remove old records.
     """
 
     nonce: str
@@ -77,13 +77,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """A record that this entry holds, or the answer that it found.
+    """A record that this entry holds, or the stored answer that it found.
 
     Attributes:
         key: Key of the row.
-        record: What the row holds.
-        version: The row's version; 0 while that is not known.
-        replay: Whether the record was found finished, with its answer.
+        record: Value of the row.
+        version: Version of the row; 0 while unknown.
+        replay: Whether the request is done and `record` has its answer.
     """
 
     key: str
@@ -101,151 +101,163 @@
     *,
     wall_time_s: float,
 ) -> Claim:
-    """Claims the right to run the work under a key.
+    """Claims the right to run a request under an idempotency key.
 
-    A write whose confirmation is lost is made again with the same nonce: if
-    the first took effect, the second finds that nonce and knows it.
+    A write whose confirmation is lost is repeated with the same nonce, which
+    it finds in the row if the first write took effect.
+
+    Args:
+        state: The entry's state.
+        organisation: Name of the organisation that the key belongs to.
+        key: The idempotency key.
+        body: Body of the request.
+        request: Id of the request.
+        wall_time_s: Current time in seconds since the epoch.
 
     Returns:
-        A claim; with `replay` set the work was done before.
+        The claim; if `replay` is set, the request has run before.
 
     Raises:
-        copperloom.exception.KeyConflictError: The key was used for another
+        copperloom.exception.KeyConflictError: The key was used with another
             body.
-        copperloom.exception.KeyInUseError: Work under the key runs or ran.
-        copperloom.exception.PlatformDownError: The platform can't tell; this
-            request was not run.
+        copperloom.exception.KeyInUseError: A request under the key is running
+            or may have run.
+        copperloom.exception.PlatformDownError: The platform is unavailable or
+            its rate limit is exceeded; this request was not run.
     """
     nonce = secrets.token_hex(_NONCE_BYTES)
     digest = xxhash.xxh128_hexdigest(body)
     record = Record(nonce, digest, request, wall_time_s=wall_time_s)
-    mine = Claim(f"idem/{organisation}/{key}", record)
+    own = Claim(f"idem/{organisation}/{key}", record)
     try:
-        return await _claim(state, mine)
+        return await _claim(state, own)
     except (exception.CopperloomError, asyncio.CancelledError) as error:
         if not isinstance(
             error, exception.KeyInUseError | exception.KeyConflictError
         ):
-            # The insert may still land after we stopped waiting for it. Left
-            # so, the key would look as if its work may have run, for good.
-            record_outcome_later(state, mine, phase=Phase.NOT_RUN)
+            # The insert may still take effect, and would block the key
+            # forever although nothing ran.
+            record_outcome_later(state, own, phase=Phase.NOT_RUN)
         raise
 
 
-async def _claim(state: EntryState, mine: Claim) -> Claim:
+async def _claim(state: EntryState, own: Claim) -> Claim:
     expected = 0
-    delay_s = _RETRY_FIRST_S
+    delay_s = _FIRST_RETRY_S
     while True:
         try:
-            found = await row_batch.put(
-                state.batcher, mine.key, expected, _plain(mine.record)
+            row = await row_batch.put(
+                state.batcher, own.key, expected, _to_value(own.record)
             )
         except exception.PlatformUnknownError:
             await asyncio.sleep(delay_s)
-            delay_s = min(delay_s * 2, _RETRY_MOST_S)
+            delay_s = min(delay_s * 2, _MAX_RETRY_S)
             continue
         except exception.RateLimitedError as error:
             raise exception.PlatformDownError(
                 str(error), retry_after_s=error.retry_after_s
             ) from error
-        if found is None:
-            mine.version = expected + 1
-            return mine
-        theirs = _record(found)
-        if theirs is None or theirs.phase == Phase.NOT_RUN:
-            expected = found.version
+        if row is None:
+            own.version = expected + 1
+            return own
+        stored = _from_row(row)
+        if stored is None or stored.phase == Phase.NOT_RUN:
+            expected = row.version
             continue
-        return _judge(mine, found, theirs)
+        return _resolve_existing(own, row, stored)
 
 
-def _judge(mine: Claim, found: Row, theirs: Record) -> Claim:
-    """Decides about a row that was there."""
-    if theirs.nonce == mine.record.nonce:
-        mine.version = found.version
-        return mine
-    if theirs.digest != mine.record.digest:
+def _resolve_existing(own: Claim, row: Row, stored: Record) -> Claim:
+    """Returns the claim that an existing row permits, or raises."""
+    if stored.nonce == own.record.nonce:
+        own.version = row.version
+        return own
+    if stored.digest != own.record.digest:
         raise exception.KeyConflictError()
-    if theirs.phase == Phase.DONE and theirs.content_type:
-        return Claim(mine.key, theirs, found.version, replay=True)
-    if theirs.phase == Phase.DONE:
+    if stored.phase == Phase.DONE and stored.content_type:
+        return Claim(own.key, stored, row.version, replay=True)
+    if stored.phase == Phase.DONE:
         raise exception.KeyInUseError(
-            f"done as {theirs.request}; its answer was too long to keep",
+            f"completed as {stored.request}; its answer was too long to store",
             run=exception.Run.MAY_HAVE_RUN,
         )
-    if theirs.phase == Phase.FAILED:
+    if stored.phase == Phase.FAILED:
         raise exception.KeyInUseError(
-            f"failed as {theirs.request} with code {theirs.code}",
-            run=exception.Run(theirs.run),
+            f"failed as {stored.request} with code {stored.code}",
+            run=exception.Run(stored.run),
         )
     raise exception.KeyInUseError(
-        f"in progress as {theirs.request}", retry_after_s=1.0
+        f"in progress as {stored.request}", retry_after_s=1.0
     )
 
 
-async def record_outcome(state: EntryState, mine: Claim, **outcome) -> None:
-    """Writes the outcome; waits for it a short time only."""
-    task = record_outcome_later(state, mine, **outcome)
-    await asyncio.wait([task], timeout=_SETTLE_WAIT_S)
+async def record_outcome(state: EntryState, own: Claim, **outcome) -> None:
+    """Writes the outcome and waits a short time for its confirmation."""
+    task = record_outcome_later(state, own, **outcome)
+    await asyncio.wait([task], timeout=_OUTCOME_WAIT_S)
 
 
 def record_outcome_later(
-    state: EntryState, mine: Claim, **outcome
+    state: EntryState, own: Claim, **outcome
 ) -> asyncio.Task:
-    """Writes the outcome in the background, again until it is confirmed."""
-    record = dataclasses.replace(mine.record, **outcome)
-    task = asyncio.get_running_loop().create_task(_settle(state, mine, record))
+    """Writes the outcome in the background, with retries."""
+    record = dataclasses.replace(own.record, **outcome)
+    task = asyncio.get_running_loop().create_task(
+        _write_outcome(state, own, record)
+    )
     state.background.add(task)
     task.add_done_callback(state.background.discard)
     return task
 
 
-async def _settle(state: EntryState, mine: Claim, record: Record) -> None:
-    """Replaces our record, whatever of our writes took effect.
+async def _write_outcome(state: EntryState, own: Claim, record: Record) -> None:
+    """Replaces the claimed record, whichever earlier writes took effect.
 
-    Also when it is not known whether the insert landed: the outcome is then
-    inserted in its place, and a late insert finds it and fails.
+    If it is unknown whether the claim was inserted, the outcome is inserted
+    instead, so that a late insert fails.
     """
-    version = mine.version
-    delay_s = _RETRY_FIRST_S
-    for _ in range(_SETTLE_TRIES):
+    version = own.version
+    delay_s = _FIRST_RETRY_S
+    for _ in range(_MAX_OUTCOME_TRIES):
         try:
-            found = await row_batch.put(
-                state.batcher, mine.key, version, _plain(record)
+            row = await row_batch.put(
+                state.batcher, own.key, version, _to_value(record)
             )
         except exception.CopperloomError:
             await asyncio.sleep(delay_s)
-            delay_s = min(delay_s * 2, _RETRY_MOST_S)
+            delay_s = min(delay_s * 2, _MAX_RETRY_S)
             continue
-        if found is None:
+        if row is None:
             return
-        theirs = _record(found)
-        if theirs is None:
+        stored = _from_row(row)
+        if stored is None:
             version = 0
             continue
-        if theirs == record or not _ours(mine, record, theirs):
+        if stored == record or not _is_replaceable(own, record, stored):
             return
-        version = found.version
+        version = row.version
     logs.event(
-        "record_unsettled", level="WARNING", key=mine.key, phase=record.phase
+        "record_unsettled", level="WARNING", key=own.key, phase=record.phase
     )
 
 
-def _ours(mine: Claim, record: Record, theirs: Record) -> bool:
-    """Tells whether the row that was found is ours to replace.
+def _is_replaceable(own: Claim, record: Record, stored: Record) -> bool:
+    """Returns whether the outcome may replace the stored record.
 
-    Besides our own, that is a "not run" of somebody else over which our claim
-    may still be on its way: replacing it makes the late claim fail.
+    It may replace the record of the same claim. While it is unknown whether
+    the claim was written, it may also replace another claim's "not run", so
+    that a late write of the claim fails.
     """
-    if theirs.nonce == record.nonce:
+    if stored.nonce == record.nonce:
         return True
-    return not mine.version and theirs.phase == Phase.NOT_RUN
+    return not own.version and stored.phase == Phase.NOT_RUN
 
 
-def _plain(record: Record) -> dict:
+def _to_value(record: Record) -> dict:
     return msgspec.to_builtins(record)
 
 
-def _record(row: Row) -> Record | None:
+def _from_row(row: Row) -> Record | None:
     if not row.version or row.value is None:
         return None
     return msgspec.convert(row.value, Record)
--- a/copperloom/controllers/row_batch.py
+++ b/copperloom/controllers/row_batch.py
@@ -1,10 +1,9 @@
-"""Groups conditional row writes of many requests into few transactions.
+"""Batches conditional row writes of many requests into few transactions.
 
-The table service takes several hundred writes a second for all entries
-together. Written one by one, keyed requests would use it up at a small share
-of the load; up to `ROWS` of them share a transaction here. A transaction
-takes effect as a whole, so when one row's condition fails, that row's writer
-is told and the others are written again without it.
+The table service limits the rate of transactions of all entries together, and
+separate transactions of requests with idempotency keys would exceed it. A
+transaction is atomic: if the condition of a row fails, its writer gets the
+conflicting row, and the other rows are written again without it.
 """
 
 import asyncio
@@ -15,25 +14,39 @@
 
 __all__ = ["Batcher", "put"]
 
-# The most rows that the table service takes in one transaction.
-ROWS = 25
-# Far below a request's first token, long enough to fill a batch at the load
-# at which batching matters.
-_GATHER_S = 0.003
+# Limit of the table service on rows in one transaction.
+MAX_ROWS = 25
+# Negligible beside the time to first token, but enough to fill batches under
+# load.
+_BATCH_DELAY_S = 0.003
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Put:
-    """A waiting write; the future gets None, or the row that is there."""
+    """A waiting write of a row.
+
+    Attributes:
+        key: Key of the row.
+        version: Version that the row must have; 0 if it must not exist.
+        value: Value to write.
+        future: Gets None once written, or the conflicting row.
+    """
 
     key: str
     version: int
     value: dict
-    done: asyncio.Future
+    future: asyncio.Future
 
 
 class Batcher:
-    """Writes that wait for the next transaction."""
+    """Row writes that wait for the next transaction.
+
+    Attributes:
+        platform: Client of the platform.
+        timeout_s: Timeout of a transaction, in seconds.
+        waiting: Writes that are not sent yet.
+        flusher: Task that sends them.
+    """
 
     def __init__(self, platform: Platform, *, timeout_s: float):
         self.platform = platform
@@ -45,15 +58,22 @@
 async def put(
     batcher: Batcher, key: str, version: int, value: dict
 ) -> Row | None:
-    """Sets a row if it has the version given (0: if there is none).
+    """Writes a row if it has the given version.
+
+    Args:
+        batcher: Batcher of the row writes.
+        key: Key of the row.
+        version: Version that the row must have; 0 if it must not exist.
+        value: Value to write.
 
     Returns:
-        None if it was written, else the row as it is.
+        None if the row was written, or else the conflicting row.
 
     Raises:
-        copperloom.exception.PlatformDownError: It was not written.
-        copperloom.exception.PlatformUnknownError: It may have been written.
-        copperloom.exception.RateLimitedError: It was not written.
+        copperloom.exception.PlatformDownError: The row was not written.
+        copperloom.exception.PlatformUnknownError: The row may have been
+            written.
+        copperloom.exception.RateLimitedError: The row was not written.
     """
     future = asyncio.get_running_loop().create_future()
     batcher.waiting.append(_Put(key, version, value, future))
@@ -63,33 +83,33 @@
 
 
 async def _flush(batcher: Batcher) -> None:
-    await asyncio.sleep(_GATHER_S)
+    await asyncio.sleep(_BATCH_DELAY_S)
     sending = set()
     while batcher.waiting:
-        puts = _take(batcher)
-        sending.add(asyncio.create_task(_send(batcher, puts)))
+        puts = _take_batch(batcher)
+        sending.add(asyncio.create_task(_send_batch(batcher, puts)))
     if sending:
         await asyncio.wait(sending)
     if batcher.waiting:
         batcher.flusher = asyncio.create_task(_flush(batcher))
 
 
-def _take(batcher: Batcher) -> list[_Put]:
-    """Takes up to ROWS waiting writes, each key once."""
-    taken: dict[str, _Put] = {}
-    left = []
+def _take_batch(batcher: Batcher) -> list[_Put]:
+    """Removes and returns up to MAX_ROWS waiting writes of distinct keys."""
+    batch: dict[str, _Put] = {}
+    remaining = []
     for item in batcher.waiting:
-        if item.done.done():
+        if item.future.done():
             continue
-        if len(taken) < ROWS and item.key not in taken:
-            taken[item.key] = item
+        if len(batch) < MAX_ROWS and item.key not in batch:
+            batch[item.key] = item
         else:
-            left.append(item)
-    batcher.waiting = left
-    return list(taken.values())
+            remaining.append(item)
+    batcher.waiting = remaining
+    return list(batch.values())
 
 
-async def _send(batcher: Batcher, puts: list[_Put]) -> None:
+async def _send_batch(batcher: Batcher, puts: list[_Put]) -> None:
     if not puts:
         return
     conditions = [Condition(p.key, p.version) for p in puts]
@@ -102,21 +122,21 @@
         for item in puts:
             _fail(item, error)
         return
-    rows = {row.key: row for row in result.conflicts}
+    conflicts = {row.key: row for row in result.conflicts}
     for item in puts:
         if result.committed:
             _resolve(item, None)
-        elif item.key in rows:
-            _resolve(item, rows[item.key])
+        elif item.key in conflicts:
+            _resolve(item, conflicts[item.key])
         else:
             batcher.waiting.append(item)
 
 
 def _resolve(item: _Put, row: Row | None) -> None:
-    if not item.done.done():
-        item.done.set_result(row)
+    if not item.future.done():
+        item.future.set_result(row)
 
 
 def _fail(item: _Put, error: exception.CopperloomError) -> None:
-    if not item.done.done():
-        item.done.set_exception(type(error)(str(error)))
+    if not item.future.done():
+        item.future.set_exception(type(error)(str(error)))
--- a/copperloom/controllers/sweep.py
+++ b/copperloom/controllers/sweep.py
@@ -1,15 +1,15 @@
 """Removes idempotency records that are older than their retention.
 
-Made for some hundred keyed requests a second: without a sweep the table grows
-by millions of rows a day. One entry sweeps at a time, the owner of a fixed
-name by rendezvous.
-
-Two may believe that they are the one, and a removal may land late. A row that
-was removed, claimed anew and so has its old version again would then be
-removed under its new holder, and the key could run twice. So each removal
-also has the version of the row `sweep/holder` as its condition, and whoever
-begins to sweep, or does not know whether a removal landed, raises that
-version first: no older removal can land after that.
+Without the sweep, the table would grow with every keyed request. One entry
+sweeps at a time, chosen as the owner of a fixed name by rendezvous hashing.
+
+Two entries may both act as the sweeper for a while, and a removal may take
+effect late. If a row was removed and claimed again by then, it has the version
+of the old row. The late removal would delete the new claim, and a request
+could run twice. Each removal is therefore also conditional on the version of
+the row `sweep/holder`. An entry that starts to sweep, or does not know whether
+a removal took effect, increments this version first, so that older removals
+fail.
 """
 
 import dataclasses
@@ -22,118 +22,131 @@
 __all__ = ["Sweep", "step", "sweep_page"]
 
 _PREFIX = "idem/"
-_OWNED_NAME = "sweep of idempotency records"
-# One page a step keeps the sweep to a few reads and, at 25 rows a
-# transaction, a few writes a second, far below the table's rates.
+_OWNER_KEY = "sweep of idempotency records"
+# Records read in one step. Bounds the reads and writes of a step to a small
+# share of the table service's rate limits.
 _PAGE_ROWS = 200
-_HOLDER = "sweep/holder"
-# One row of each transaction is the holder's.
-_ROWS = row_batch.ROWS - 1
+_HOLDER_KEY = "sweep/holder"
+# One row of each transaction is the row `sweep/holder`.
+_MAX_REMOVALS = row_batch.MAX_ROWS - 1
 
 
 @dataclasses.dataclass(slots=True)
 class Sweep:
-    """Where the sweep stands.
+    """Progress of the sweep.
 
     Attributes:
         after: Key after which the next page begins.
-        holding: Version of the holder's row; 0 if it must be raised first.
+        holder_version: Version of the row `sweep/holder`; 0 if it must be
+            incremented first.
     """
 
     after: str = ""
-    holding: int = 0
+    holder_version: int = 0
 
 
 async def step(state, now: float) -> None:
-    """Sweeps one page, if this entry is the one to do it.
+    """Sweeps one page, if this entry is the sweeper.
 
     Args:
         state: The entry's state.
-        now: Monotonic seconds.
+        now: Monotonic time in seconds.
 
     Raises:
-        copperloom.exception.PlatformDownError: The platform gave no answer;
-            the page is read again by the next step.
+        copperloom.exception.PlatformDownError: The platform did not reply; the
+            next step repeats the page.
     """
     own = state.settings.entry.instance
-    if reservation_owners.owner_of(state, _OWNED_NAME, now) != own:
-        state.sweep.holding = 0
+    if reservation_owners.owner_of(state, _OWNER_KEY, now) != own:
+        state.sweep.holder_version = 0
         return
-    oldest = time.time() - state.settings.limits.record_retention_s
+    cutoff = time.time() - state.settings.limits.record_retention_s
     try:
-        await sweep_page(state, oldest)
+        await sweep_page(state, cutoff)
     except exception.ChangeLostError:
-        # Entries that have just started do not know each other and all begin;
-        # the next step settles who goes on.
+        # Entries that have just started do not know each other and may all act
+        # as the sweeper; the next step decides again.
         logs.event("sweep_lost", level="DEBUG")
 
 
-async def sweep_page(state, oldest: float) -> None:
+async def sweep_page(state, cutoff: float) -> None:
     """Removes the expired records of the next page.
 
     Args:
-        state: The entry's state; its `sweep` tells where the page begins.
-        oldest: Records claimed before this wall time are removed; in seconds
-            since the epoch. Clocks may differ by minutes, the retention is
-            many hours.
+        state: The entry's state; its `sweep` determines the page.
+        cutoff: Records claimed before this wall-clock time, in seconds since
+            the epoch, are removed. The retention is long compared with any
+            difference between clocks.
 
     Raises:
-        copperloom.exception.ChangeLostError: Another instance sweeps.
-        copperloom.exception.CopperloomError: The platform failed; nothing is
-            lost by sweeping the page again.
+        copperloom.exception.ChangeLostError: Another entry sweeps.
+        copperloom.exception.CopperloomError: A platform call failed; the page
+            can be swept again.
     """
     timeout_s = state.settings.platform.timeout_s
-    holding, state.sweep.holding = state.sweep.holding, 0
-    if not holding:
-        holding = await _take_over(state, timeout_s)
-    # Read after taking over: what was read before may have been removed and
-    # claimed anew since.
+    holder_version, state.sweep.holder_version = state.sweep.holder_version, 0
+    if not holder_version:
+        holder_version = await _take_over(state, timeout_s)
+    # Scan only after the takeover: rows read earlier may have been removed and
+    # claimed again since.
     rows = await state.platform.scan(
         _PREFIX, after=state.sweep.after, limit=_PAGE_ROWS, timeout_s=timeout_s
     )
-    expired = [row for row in rows if _is_expired(row, oldest)]
-    for at in range(0, len(expired), _ROWS):
-        await _remove(state, expired[at : at + _ROWS], holding, timeout_s)
+    expired = [row for row in rows if _is_expired(row, cutoff)]
+    for start in range(0, len(expired), _MAX_REMOVALS):
+        await _remove(
+            state,
+            expired[start : start + _MAX_REMOVALS],
+            holder_version,
+            timeout_s,
+        )
     if expired:
         logs.event("records_swept", seen=len(rows), expired=len(expired))
     state.sweep.after = rows[-1].key if len(rows) == _PAGE_ROWS else ""
-    state.sweep.holding = holding
+    state.sweep.holder_version = holder_version
 
 
-def _is_expired(row: Row, oldest: float) -> bool:
+def _is_expired(row: Row, cutoff: float) -> bool:
     value = row.value
     if not isinstance(value, dict):
         return False
-    return value.get("wall_time_s", oldest) < oldest
+    return value.get("wall_time_s", cutoff) < cutoff
 
 
 async def _take_over(state, timeout_s: float) -> int:
-    """Raises the version of the holder's row and returns it."""
-    row = await state.platform.read(_HOLDER, timeout_s=timeout_s)
+    """Increments the version of the row `sweep/holder` and returns it."""
+    row = await state.platform.read(_HOLDER_KEY, timeout_s=timeout_s)
     result = await state.platform.transact(
-        [Condition(_HOLDER, row.version)],
-        [Write(_HOLDER, {"holder": state.owner})],
+        [Condition(_HOLDER_KEY, row.version)],
+        [Write(_HOLDER_KEY, {"holder": state.owner})],
         timeout_s=timeout_s,
     )
     if not result.committed:
-        raise exception.ChangeLostError("another instance sweeps")
+        raise exception.ChangeLostError(
+            "another entry has taken over the sweep"
+        )
     return row.version + 1
 
 
 async def _remove(
-    state, rows: list[Row], holding: int, timeout_s: float
+    state, rows: list[Row], holder_version: int, timeout_s: float
 ) -> None:
-    """Removes rows; those that have changed since they were read stay."""
+    """Removes rows, except those that have changed since they were read."""
     while rows:
-        held = Condition(_HOLDER, holding)
+        holder_condition = Condition(_HOLDER_KEY, holder_version)
         result = await state.platform.transact(
-            [held, *(Condition(row.key, row.version) for row in rows)],
+            [
+                holder_condition,
+                *(Condition(row.key, row.version) for row in rows),
+            ],
             [Write(row.key, None) for row in rows],
             timeout_s=timeout_s,
         )
         if result.committed:
             return
         changed = {row.key for row in result.conflicts}
-        if _HOLDER in changed:
-            raise exception.ChangeLostError("another instance sweeps")
+        if _HOLDER_KEY in changed:
+            raise exception.ChangeLostError(
+                "another entry has taken over the sweep"
+            )
         rows = [row for row in rows if row.key not in changed]
