--- a/copperloom/peers/server.py
+++ b/copperloom/peers/server.py
@@ -68,7 +68,7 @@
 
     async def Release(self, stream) -> None:  # noqa: N802
         request = await self.receive(stream)
-        reservation_owners.give_back(self.state, request)
+        reservation_owners.release_reservations(self.state, request)
         await self.send(stream, peers_pb2.ReleaseReply(), request)
 
     async def Fetch(self, stream) -> None:  # noqa: N802
