--- a/copperloom/filters/__init__.py
+++ b/copperloom/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The chain of filters that every request passes."""
+"""The filters that process the requests of callers."""
--- a/copperloom/filters/answers.py
+++ b/copperloom/filters/answers.py
@@ -1,9 +1,9 @@
-"""Writes answers to callers piece by piece.
+"""Sends answers to callers.
 
-A streaming caller gets server-sent events. One who did not ask for a stream
-gets one JSON body; it is held until it is whole or `_HOLD_BYTES` long, so that
-an answer that breaks early still gets its error with a status of its own, and
-from there on it goes out piece by piece too, so that memory stays bounded.
+A caller that asks for a stream gets server-sent events. Other callers get one
+JSON body. It is buffered until it is complete or `_MAX_BUFFERED_BYTES` long, so
+that an early error can still be sent with its own HTTP status; the remainder of
+a longer body is sent as it arrives, which bounds the memory.
 """
 
 import asyncio
@@ -15,25 +15,30 @@
 from copperloom.filters import exchange
 from copperloom.targets.interface import Piece
 
-__all__ = ["JsonAnswer", "SseAnswer", "break_off", "make"]
+__all__ = ["JsonAnswer", "SseAnswer", "abort_answer", "make_answer"]
 
-_HOLD_BYTES = 65_536
+_MAX_BUFFERED_BYTES = 65_536
 _DONE = b"data: [DONE]\n\n"
 _encode = msgspec.json.encode
 
 
-def make(ex: exchange.Exchange, stream: str) -> "SseAnswer | JsonAnswer":
-    """Returns the answer in the form that the caller asked for."""
+def make_answer(ex: exchange.Exchange, stream: str) -> "SseAnswer | JsonAnswer":
+    """Returns an answer in the format that the caller asked for."""
     if ex.chat is None or ex.chat.stream:
         return SseAnswer(ex, stream)
     return JsonAnswer(ex, stream)
 
 
-async def break_off(ex: exchange.Exchange, body: bytes) -> None:
-    """Ends a begun answer so that it can't be taken for a whole one.
+async def abort_answer(ex: exchange.Exchange, body: bytes) -> None:
+    """Ends a started answer so that it is recognisably incomplete.
 
-    A server-sent stream gets an error event and no [DONE]. A JSON body is cut
-    without its last chunk, which every HTTP client reports as an error.
+    A stream of server-sent events gets an error event and no [DONE]. A JSON
+    body is cut off before its last chunk, which HTTP clients report as an
+    error.
+
+    Args:
+        ex: The request.
+        body: JSON of the error.
     """
     response = ex.response
     if response.content_type == "text/event-stream":
@@ -58,36 +63,36 @@
             "created": int(time.time()),
             "model": ex.deployment.name if ex.deployment else "",
         }
-        # All events of a stream share their start and end: encoding them once
-        # saves most of the processor time of a token.
-        self.head = b"data: " + _encode(head)[:-1] + b',"choices":['
-        self.delta = self.head + b'{"index":0,"delta":{"content":'
-        self.tail = b'},"finish_reason":null}]}\n\n'
+        # All events of a stream share their start and end; encoding these once
+        # saves most of the CPU time per token.
+        self.prefix = b"data: " + _encode(head)[:-1] + b',"choices":['
+        self.delta = self.prefix + b'{"index":0,"delta":{"content":'
+        self.suffix = b'},"finish_reason":null}]}\n\n'
 
     async def write(self, pieces: list[Piece]) -> None:
-        """Sends pieces on at once; waits while the caller's buffer is full."""
-        parts = []
+        """Sends pieces, and waits while the connection's buffer is full."""
+        events = []
         if self.ex.response is None:
-            await self._begin()
-            parts.append(
-                self.head
+            await self._start()
+            events.append(
+                self.prefix
                 + b'{"index":0,"delta":{"role":"assistant","content":""},'
                 + b'"finish_reason":null}]}\n\n'
             )
         for piece in pieces:
             if piece.text:
-                parts.append(self.delta + _encode(piece.text) + self.tail)
+                events.append(self.delta + _encode(piece.text) + self.suffix)
             if piece.final:
-                parts.append(self._final(piece))
-        if parts:
-            await self.ex.response.write(b"".join(parts))
+                events.append(self._final(piece))
+        if events:
+            await self.ex.response.write(b"".join(events))
 
     async def end(self) -> None:
-        """Ends a whole answer."""
+        """Ends a complete answer."""
         await self.ex.response.write(_DONE)
         await self.ex.response.write_eof()
 
-    async def _begin(self) -> None:
+    async def _start(self) -> None:
         headers = stream_headers(self.ex)
         headers["Cache-Control"] = "no-cache"
         response = web.StreamResponse(headers=headers)
@@ -100,7 +105,7 @@
         if self.ex.request is not None:
             usage = b',"usage":' + _encode(_usage(self.ex))
         return (
-            self.head
+            self.prefix
             + b'{"index":0,"delta":{},"finish_reason":'
             + _encode(piece.final)
             + b"}]"
@@ -120,29 +125,29 @@
             "created": int(time.time()),
             "model": ex.deployment.name,
         }
-        self.held = [
+        self.buffer = [
             _encode(head)[:-1]
             + b',"choices":[{"index":0,"message":'
             + b'{"role":"assistant","content":"'
         ]
-        self.held_bytes = 0
+        self.buffered_bytes = 0
 
     async def write(self, pieces: list[Piece]) -> None:
-        """Holds a short answer, passes a long one on."""
+        """Buffers pieces, and sends them once the answer is long."""
         for piece in pieces:
-            self.held.append(_encode(piece.text)[1:-1])
-            self.held_bytes += len(self.held[-1])
+            self.buffer.append(_encode(piece.text)[1:-1])
+            self.buffered_bytes += len(self.buffer[-1])
             if piece.final:
-                self.held.append(self._final(piece))
-        if self.held_bytes > _HOLD_BYTES:
+                self.buffer.append(self._final(piece))
+        if self.buffered_bytes > _MAX_BUFFERED_BYTES:
             await self._flush()
 
     async def end(self) -> None:
-        """Ends a whole answer."""
+        """Ends a complete answer."""
         if self.ex.response is None:
             headers = stream_headers(self.ex)
             self.ex.response = web.Response(
-                body=b"".join(self.held),
+                body=b"".join(self.buffer),
                 headers=headers,
                 content_type="application/json",
             )
@@ -156,9 +161,9 @@
             response.content_type = "application/json"
             self.ex.response = response
             await response.prepare(self.ex.http)
-        held, self.held = self.held, []
-        if held:
-            await self.ex.response.write(b"".join(held))
+        buffered, self.buffer = self.buffer, []
+        if buffered:
+            await self.ex.response.write(b"".join(buffered))
 
     def _final(self, piece: Piece) -> bytes:
         return (
@@ -171,19 +176,19 @@
 
 
 def stream_headers(ex: exchange.Exchange) -> dict[str, str]:
-    """Returns the headers that every answer carries."""
+    """Returns the headers of every answer."""
     headers = {"X-Copperloom-Request": ex.id}
     if ex.stream_path:
         headers["X-Copperloom-Stream"] = ex.stream_path
     if ex.state.draining:
-        # Tells a keep-alive caller to open its next connection elsewhere, so
-        # that closing this instance's connections cuts nobody.
+        # The caller opens its next connection to another entry, so that this
+        # one can stop without interrupting requests.
         headers["Connection"] = "close"
     return headers
 
 
-def note_first_token(ex: exchange.Exchange) -> None:
-    """Notes when the first token came."""
+def record_first_token(ex: exchange.Exchange) -> None:
+    """Records the time of the first token."""
     if ex.first_token_at is None:
         ex.first_token_at = asyncio.get_running_loop().time()
 
--- a/copperloom/filters/attempt.py
+++ b/copperloom/filters/attempt.py
@@ -1,4 +1,4 @@
-"""One try to get a request's answer from one stream of an engine."""
+"""One attempt to get the answer to a request from a stream of an engine."""
 
 import asyncio
 import contextlib
@@ -9,26 +9,33 @@
 from copperloom.filters import answers, exchange, read, token_batching
 from copperloom.targets.interface import Piece
 
-__all__ = ["Attempt", "abandon", "copy", "pause", "rest"]
+__all__ = [
+    "Attempt",
+    "back_off",
+    "cancel_stream",
+    "relay_stream",
+    "resume_stream",
+]
 
-# A break is mostly a cut connection: the engine goes on generating and can be
-# read again. An engine that does not answer for all of these tries is down.
-_RESUME_TRIES = 6
-_RESUME_FIRST_S = 0.05
-_RESUME_MOST_S = 1.0
+# After a broken connection the engine continues to decode, so the stream can be
+# resumed. An engine that does not reply to any of these attempts is down.
+_MAX_RESUME_TRIES = 6
+_MIN_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 1.0
 
 
 class Attempt:
-    """One stream at one target (or group) for a request.
+    """A stream of a request at one target or group of targets.
 
     Attributes:
-        stream: The stream's name.
-        address: Address of the (leading) engine.
-        target: Its name.
-        delivered: Answer tokens taken over so far.
-        final: Why the answer ended; "" while it has not.
-        resumed_from: Tokens taken over when it was resumed last.
-        taken: Whether a resume got pieces, and so this entry owns it.
+        stream: Name of the stream.
+        address: Address of the lead engine.
+        target: Name of the lead engine's target.
+        delivered: Answer tokens received from the engine.
+        finish_reason: Why the answer ended; "" while it has not.
+        resumed_from: Value of `delivered` at the latest resume.
+        owned: Whether the engine has sent pieces to this entry, which makes
+            the entry the stream's owner.
     """
 
     def __init__(self, stream: str, address: str, target: str):
@@ -37,11 +44,11 @@
         self.target = target
         self.delivered = 0
         self.resumed_from = 0
-        self.final = ""
-        self.taken = False
+        self.finish_reason = ""
+        self.owned = False
 
 
-async def copy(
+async def relay_stream(
     ex: exchange.Exchange,
     attempt: Attempt,
     answer,
@@ -49,52 +56,60 @@
     *,
     on_first: Callable[[float], None] | None = None,
 ) -> None:
-    """Relays what a source gives until the answer's final piece.
+    """Relays the pieces of a source up to the final one.
 
     Args:
         ex: The request.
-        attempt: Counts what is taken over.
-        answer: Writes pieces to the caller.
+        attempt: The stream; its counts are updated.
+        answer: Sends pieces to the caller.
         source: Async iterator of lists of pieces.
-        on_first: Gets the time of the request's first token.
+        on_first: Called with the monotonic time of the request's first token,
+            in seconds.
 
     Raises:
-        copperloom.exception.StreamBrokenError: It ended without a final piece.
+        copperloom.exception.StreamBrokenError: The source ended without a
+            final piece.
     """
-    gather = token_batching.TokenRate(ex.state.settings.limits.gather_ms / 1000)
+    token_rate = token_batching.TokenRate(
+        ex.state.settings.limits.gather_ms / 1000
+    )
     async with contextlib.aclosing(source) as batches:
         async for pieces in batches:
-            attempt.taken = True
+            attempt.owned = True
             if ex.first_token_at is None:
-                answers.note_first_token(ex)
+                answers.record_first_token(ex)
                 if on_first is not None:
                     on_first(ex.first_token_at)
-            before = ex.tokens
-            _take(ex, attempt, pieces)
+            tokens_before = ex.tokens
+            _record_pieces(ex, attempt, pieces)
             await answer.write(pieces)
-            if not attempt.final:
-                await token_batching.pause(gather, ex.tokens - before)
-    if not attempt.final:
-        raise exception.StreamBrokenError("no final piece")
+            if not attempt.finish_reason:
+                await token_batching.wait(token_rate, ex.tokens - tokens_before)
+    if not attempt.finish_reason:
+        raise exception.StreamBrokenError(
+            "the engine ended the answer without its final piece"
+        )
 
 
-def _take(ex: exchange.Exchange, attempt: Attempt, pieces: list[Piece]) -> None:
-    """Counts pieces and keeps them for the idempotency record."""
+def _record_pieces(
+    ex: exchange.Exchange, attempt: Attempt, pieces: list[Piece]
+) -> None:
+    """Counts pieces and adds them to the stored answer."""
     tokens = 0
     for piece in pieces:
         tokens += piece.tokens
         if piece.final:
-            attempt.final = piece.final
-        if ex.kept is not None:
-            ex.kept.add(piece.text.encode())
-            ex.kept.finish = piece.final
+            attempt.finish_reason = piece.final
+        if ex.stored_answer is not None:
+            ex.stored_answer.add(piece.text.encode())
+            ex.stored_answer.finish_reason = piece.final
     attempt.delivered += tokens
     ex.tokens += tokens
     ex.state.metrics.tokens.inc(tokens)
 
 
-def rest(ex: exchange.Exchange, attempt: Attempt):
-    """Returns the source of the rest of a stream."""
+def resume_stream(ex: exchange.Exchange, attempt: Attempt):
+    """Returns the source of the tokens that are still missing."""
     timeout_s = ex.deadline - asyncio.get_running_loop().time()
     return ex.state.targets.resume(
         attempt.address,
@@ -106,32 +121,45 @@
     )
 
 
-async def pause(attempt: Attempt, tries: int) -> int:
-    """Waits before the next try to resume; gives up after the last.
+async def back_off(attempt: Attempt, tries: int) -> int:
+    """Waits before the next attempt to resume a stream.
 
-    Tries count from the last token that came: a long answer may break any
-    number of times, as long as it makes progress.
+    Only attempts since the last received token count, so that a long answer
+    may break any number of times as long as it makes progress.
+
+    Args:
+        attempt: The stream.
+        tries: Attempts to resume it so far.
+
+    Returns:
+        The attempts to resume it, including the one that follows.
+
+    Raises:
+        copperloom.exception.StreamBrokenError: The last attempt has failed.
     """
     if attempt.delivered > attempt.resumed_from:
         attempt.resumed_from = attempt.delivered
         tries = 0
-    if tries >= _RESUME_TRIES:
-        raise exception.StreamBrokenError(f"{attempt.target} is lost")
-    await asyncio.sleep(min(_RESUME_FIRST_S * 2**tries, _RESUME_MOST_S))
+    if tries >= _MAX_RESUME_TRIES:
+        raise exception.StreamBrokenError(
+            f"{attempt.target} did not resume the stream after repeated"
+            " attempts"
+        )
+    await asyncio.sleep(min(_MIN_BACKOFF_S * 2**tries, _MAX_BACKOFF_S))
     return tries + 1
 
 
-def abandon(ex: exchange.Exchange, attempt: Attempt) -> None:
-    """Frees the engine's memory of a stream that nobody will read.
+def cancel_stream(ex: exchange.Exchange, attempt: Attempt) -> None:
+    """Cancels a stream, so that the engine frees its memory.
 
-    A caller that asked for a resumable stream and lost its connection gets
-    some time to fetch the rest; everyone else's stream is cancelled at once.
+    If the caller asked for a resumable stream and was disconnected, the cancel
+    is delayed to give the caller time to resume.
     """
     if ex.run is exception.Run.NOT_RUN:
         return
-    wanted = read.flag(ex.http, read.RESUMABLE_HEADER)
+    resumable = read.parse_flag(ex.http, read.RESUMABLE_HEADER)
     transport = ex.http.transport
-    gone = transport is None or transport.is_closing()
+    disconnected = transport is None or transport.is_closing()
     resumable_s = ex.state.settings.limits.resumable_s
-    delay_s = resumable_s if wanted and gone else 0.0
+    delay_s = resumable_s if resumable and disconnected else 0.0
     reclaim.cancel(ex.state, attempt.address, attempt.stream, delay_s=delay_s)
--- a/copperloom/filters/chain.py
+++ b/copperloom/filters/chain.py
@@ -1,4 +1,4 @@
-"""The filters that every request passes, in order, in one list each."""
+"""The ordered filters of each kind of request."""
 
 from copperloom import chains
 from copperloom.filters import (
@@ -17,8 +17,8 @@
 
 __all__ = ["CHAT", "RESUME", "SERVICE", "run"]
 
-# The outcome filter stands outermost: it alone turns errors into replies, so
-# that a request can have no second outcome and none is left without one.
+# The outcome filter is the outermost one and alone turns errors into replies,
+# so that each request gets exactly one outcome.
 CHAT: tuple[exchange.Filter, ...] = (
     outcome.outcome,
     identify.identify,
--- a/copperloom/filters/deadline.py
+++ b/copperloom/filters/deadline.py
@@ -1,10 +1,10 @@
-"""The time limit that a request runs under.
+"""Enforces the time limit of a request.
 
-`asyncio.timeout` cancels its task once. A library below that has a time limit
-of its own may take that one cancellation for its own: aiohttp's client does
-when both end in the same turn of the loop, as they do after a pause of the
-process. The request would then run on with no limit at all, and its caller
-would wait for ever. Here the task is cancelled again until it ends.
+`asyncio.timeout` cancels its task once. A library with a timeout of its own may
+swallow that cancellation: aiohttp's client does when both timeouts expire in
+the same iteration of the event loop, which happens after the process was
+suspended. The request would then run without any limit. A `Deadline` cancels
+the task repeatedly until it ends.
 """
 
 import asyncio
@@ -14,17 +14,17 @@
 
 __all__ = ["Deadline", "within"]
 
-# Far below the precision that callers set limits with, far above the time
-# that a task needs to end after it is cancelled.
-_AGAIN_S = 0.05
+# Short compared with the limits that callers set, long compared with the time
+# that a cancelled task needs to end.
+_CANCEL_INTERVAL_S = 0.05
 
 
 class Deadline:
-    """The timer of one request.
+    """A timer that cancels the current task at its time limit.
 
     Attributes:
-        task: The request's task.
-        timer: What will fire next.
+        task: The task that processes the request.
+        timer: Handle of the next call of the event loop.
         fired: Whether the limit has passed.
     """
 
@@ -34,12 +34,12 @@
         self.timer = asyncio.get_running_loop().call_at(when, self._fire)
 
     def reschedule(self, when: float) -> None:
-        """Moves the limit to another monotonic time, in seconds."""
+        """Moves the limit to another monotonic time in seconds."""
         self.stop()
         self.timer = asyncio.get_running_loop().call_at(when, self._fire)
 
     def expired(self) -> bool:
-        """Whether the limit has passed."""
+        """Returns whether the limit has passed."""
         return self.fired
 
     def stop(self) -> None:
@@ -50,11 +50,11 @@
         self.fired = True
         self.task.cancel()
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(_AGAIN_S, self._fire)
+        self.timer = loop.call_later(_CANCEL_INTERVAL_S, self._fire)
 
 
 async def within(limit: Deadline, work: Awaitable[None]) -> None:
-    """Waits for some work of the current task, up to the limit.
+    """Awaits work in the current task, up to its time limit.
 
     Raises:
         copperloom.exception.TimeLimitPassedError: The limit passed first.
@@ -68,10 +68,10 @@
     finally:
         limit.stop()
         if limit.fired:
-            _uncancel(limit.task)
+            _clear_cancellations(limit.task)
 
 
-def _uncancel(task: asyncio.Task) -> None:
-    """Makes the task fit to send its outcome."""
+def _clear_cancellations(task: asyncio.Task) -> None:
+    """Clears the cancellations, so that the task can send its outcome."""
     while task.cancelling():
         task.uncancel()
--- a/copperloom/filters/estimate.py
+++ b/copperloom/filters/estimate.py
@@ -1,4 +1,4 @@
-"""Makes the request that the decisions see."""
+"""Builds the request that the scheduler works with."""
 
 import xxhash
 
@@ -7,34 +7,34 @@
 
 __all__ = ["estimate_chat", "estimate_service"]
 
-# A prefix shorter than this is cheaper to compute again than to look for.
+# Looking up a shorter prefix costs more than its prefill saves.
 _PREFIX_BYTES = 4096
-# By HTTP's own rules a repeat of these has the effect of one.
+# HTTP defines these methods as idempotent.
 _IDEMPOTENT_METHODS = frozenset(["GET", "HEAD", "PUT", "DELETE", "OPTIONS"])
 
 
 async def estimate_chat(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Sets ex.request with the tokens estimated from the prompt's bytes."""
+    """Sets ex.request, with tokens estimated from the size of the prompt."""
     raw = bytes(ex.chat.messages)
     limits = ex.state.settings.limits
-    wanted = ex.chat.max_completion_tokens or ex.chat.max_tokens
-    not_repeatable = read.flag(ex.http, read.NOT_REPEATABLE_HEADER)
-    ex.request = _request(
+    max_tokens = ex.chat.max_completion_tokens or ex.chat.max_tokens
+    not_repeatable = read.parse_flag(ex.http, read.NOT_REPEATABLE_HEADER)
+    ex.request = _build_request(
         ex,
         prompt_tokens=max(1, int(len(raw) / limits.bytes_per_token)),
-        max_tokens=wanted or limits.default_max_tokens,
-        prefix=_prefix(raw),
+        max_tokens=max_tokens or limits.default_max_tokens,
+        prefix=_prefix_hash(raw),
         repeatable=not not_repeatable,
     )
     await nxt(ex)
 
 
 async def estimate_service(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Sets ex.request; a service call counts as one token each way."""
-    not_repeatable = read.flag(ex.http, read.NOT_REPEATABLE_HEADER)
+    """Sets ex.request; a service call counts as one token in each direction."""
+    not_repeatable = read.parse_flag(ex.http, read.NOT_REPEATABLE_HEADER)
     if not_repeatable is None:
         not_repeatable = ex.http.method not in _IDEMPOTENT_METHODS
-    ex.request = _request(
+    ex.request = _build_request(
         ex,
         prompt_tokens=1,
         max_tokens=1,
@@ -44,7 +44,7 @@
     await nxt(ex)
 
 
-def _request(
+def _build_request(
     ex: exchange.Exchange,
     *,
     prompt_tokens: int,
@@ -70,7 +70,7 @@
     )
 
 
-def _prefix(raw: bytes) -> str:
+def _prefix_hash(raw: bytes) -> str:
     if len(raw) < _PREFIX_BYTES:
         return ""
     return xxhash.xxh64_hexdigest(raw[:_PREFIX_BYTES])
--- a/copperloom/filters/exchange.py
+++ b/copperloom/filters/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the filters."""
+"""The state of one caller's request as it passes through the filters."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,29 +11,30 @@
 
 
 class Exchange:
-    """What the filters learn about one request.
+    """The state that the filters build up for one request.
 
     Attributes:
-        state: The entry's state.
+        state: State of the entry that processes the request.
         http: The caller's HTTP request.
         id: Request id, unique over all instances and boots.
-        arrived: Monotonic seconds when it came.
-        deadline: Monotonic seconds by which it must have its outcome.
-        cfg: The configuration that it was admitted under.
-        organisation: Whose request it is.
-        deployment: What it is for.
-        body: The raw body.
-        chat: The decoded chat request, None for a service call.
-        request: What the decisions need of it.
-        response: The HTTP response, once it is begun or finished.
-        limit: The timer of the deadline, once it runs.
-        stream_path: TARGET/STREAM under which a caller may resume.
-        run: What may be believed of its run so far.
-        first_token_at: Monotonic seconds of the first token.
+        arrived: Monotonic time of arrival, in seconds.
+        deadline: Monotonic time by which the caller must have an outcome, in
+            seconds.
+        cfg: Configuration under which the request was admitted.
+        organisation: Organisation that sent the request.
+        deployment: Deployment that the request names.
+        body: Raw request body.
+        chat: Decoded chat request; None for a service call.
+        request: The request as the scheduler sees it.
+        response: HTTP response, once it has been started or completed.
+        deadline_timer: Timer of the deadline, once it is running.
+        stream_path: TARGET/STREAM, the path at which a caller may resume.
+        run: Whether the work has run, as far as is known.
+        first_token_at: Monotonic time of the first token, in seconds.
         tokens: Answer tokens relayed so far.
-        placement: Where it was placed last.
-        record: Its idempotency record, if it has one.
-        kept: The answer as far as it is kept for the record.
+        placement: Latest placement.
+        record: Claim on the idempotency record, if the request has one.
+        stored_answer: Answer to store in the idempotency record.
     """
 
     def __init__(self, state: EntryState, http: web.Request, now: float):
@@ -49,14 +50,14 @@
         self.chat = None
         self.request: messages.Request | None = None
         self.response: web.StreamResponse | None = None
-        self.limit = None
+        self.deadline_timer = None
         self.stream_path = ""
         self.run = exception.Run.NOT_RUN
         self.first_token_at: float | None = None
         self.tokens = 0
         self.placement: messages.Placement | None = None
         self.record = None
-        self.kept = None
+        self.stored_answer = None
 
 
 Next = Callable[[Exchange], Awaitable[None]]
--- a/copperloom/filters/idempotency.py
+++ b/copperloom/filters/idempotency.py
@@ -1,4 +1,4 @@
-"""Runs keyed work that is not repeatable at most once."""
+"""Runs non-repeatable requests with an idempotency key at most once."""
 
 import asyncio
 import dataclasses
@@ -11,42 +11,42 @@
 from copperloom.filters import answers, exchange
 from copperloom.targets.interface import Piece
 
-__all__ = ["Kept", "run_once"]
+__all__ = ["StoredAnswer", "run_once"]
 
 
 @dataclasses.dataclass(slots=True)
-class Kept:
-    """An answer kept for repeats under its key, up to a bound.
+class StoredAnswer:
+    """An answer that is stored for repeats of the request, up to a size.
 
     Attributes:
-        room: Bytes that may still be kept; below 0 nothing is kept.
-        parts: The bytes so far.
-        status: HTTP status.
-        content_type: Of the answer.
-        finish: Why it ended.
+        free_bytes: Bytes that may still be added; negative once the answer is
+            too long, and then nothing is stored.
+        chunks: The answer so far.
+        status: HTTP status of the answer.
+        content_type: Content type of the answer.
+        finish_reason: Why the answer ended.
     """
 
-    room: int
-    parts: list[bytes]
+    free_bytes: int
+    chunks: list[bytes]
     status: int = 200
     content_type: str = "text/plain"
-    finish: str = ""
+    finish_reason: str = ""
 
     def add(self, data: bytes) -> None:
-        """Keeps some bytes, or drops all if the answer is too long."""
-        self.room -= len(data)
-        if self.room >= 0:
-            self.parts.append(data)
+        """Adds bytes, or drops the answer if it becomes too long."""
+        self.free_bytes -= len(data)
+        if self.free_bytes >= 0:
+            self.chunks.append(data)
         else:
-            self.parts.clear()
+            self.chunks.clear()
 
 
 async def run_once(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Claims the key before anything is sent, settles it afterwards.
+    """Claims the key before the work is sent, and records the outcome.
 
-    The claim is made before the request can be refused for load: a repeat
-    that was refused as "not run" while the first attempt runs would be told
-    something untrue.
+    The key is claimed before the request can be refused under load. A repeat
+    could otherwise be refused as "not run" while the first attempt is running.
     """
     req = ex.request
     if req.repeatable or not req.key:
@@ -64,22 +64,26 @@
         await _replay(ex, claim.record)
         return
     ex.record = claim
-    ex.kept = Kept(ex.state.settings.limits.answer_record_bytes, [])
+    ex.stored_answer = StoredAnswer(
+        ex.state.settings.limits.answer_record_bytes, []
+    )
     try:
         await nxt(ex)
     except exception.CopperloomError as error:
-        _settle_failure(ex, error.code, _worse(ex.run, error.run))
+        _record_failure(ex, error.code, _worse_outcome(ex.run, error.run))
         raise
     except asyncio.CancelledError:
-        _settle_failure(ex, 0, ex.run)
+        _record_failure(ex, 0, ex.run)
         raise
 
 
-def _worse(first: exception.Run, second: exception.Run) -> exception.Run:
+def _worse_outcome(
+    first: exception.Run, second: exception.Run
+) -> exception.Run:
     return second if first is exception.Run.NOT_RUN else first
 
 
-def _settle_failure(
+def _record_failure(
     ex: exchange.Exchange, code: int, run: exception.Run
 ) -> None:
     not_run = run is exception.Run.NOT_RUN
@@ -90,25 +94,25 @@
 
 
 async def record_completion(ex: exchange.Exchange) -> None:
-    """Records that the work is done, before the answer's end is sent."""
+    """Records the completion before the end of the answer is sent."""
     if ex.record is None:
         return
-    kept = ex.kept
-    whole = kept.room >= 0
+    stored = ex.stored_answer
+    complete = stored.free_bytes >= 0
     await records.record_outcome(
         ex.state,
         ex.record,
         phase=records.Phase.DONE,
-        status=kept.status,
-        content_type=kept.content_type if whole else "",
-        answer=b"".join(kept.parts),
-        finish=kept.finish,
+        status=stored.status,
+        content_type=stored.content_type if complete else "",
+        answer=b"".join(stored.chunks),
+        finish=stored.finish_reason,
         tokens=ex.tokens,
     )
 
 
 async def _replay(ex: exchange.Exchange, record: records.Record) -> None:
-    """Gives the answer of the first run again."""
+    """Sends the stored answer of the first run."""
     if ex.chat is None:
         ex.response = web.Response(
             status=record.status,
@@ -118,7 +122,7 @@
         )
         return
     ex.tokens = record.tokens
-    answer = answers.make(ex, record.request)
+    answer = answers.make_answer(ex, record.request)
     text = record.answer.decode()
     piece = Piece(record.request, 0, text, record.tokens, record.finish)
     await answer.write([piece])
--- a/copperloom/filters/outcome.py
+++ b/copperloom/filters/outcome.py
@@ -1,4 +1,4 @@
-"""Gives every request its one outcome, within its time limit."""
+"""Gives every request exactly one outcome within its time limit."""
 
 import asyncio
 import math
@@ -17,21 +17,21 @@
 
 
 async def outcome(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Runs the other filters under the deadline and replies to errors."""
+    """Runs the inner filters under the deadline and replies to errors."""
     state = ex.state
     state.active += 1
     state.metrics.active.inc()
     code = _CALLER_GONE
     try:
-        code = await _settle(ex, nxt)
+        code = await _run_to_outcome(ex, nxt)
     finally:
         state.active -= 1
         state.metrics.active.dec()
-        _account(ex, code)
+        _record_outcome(ex, code)
 
 
-async def _settle(ex: exchange.Exchange, nxt: exchange.Next) -> int:
-    """Returns the result code of the one outcome."""
+async def _run_to_outcome(ex: exchange.Exchange, nxt: exchange.Next) -> int:
+    """Runs the inner filters and returns the result code of the outcome."""
     try:
         await _within_deadline(ex, nxt)
         return _OK
@@ -41,18 +41,21 @@
         await reply_error(ex, error)
         return error.code
     except Exception as error:
-        # A fault of our own still is an outcome: without this the caller
-        # would see a closed connection and not know whether the work ran.
+        # Without a reply to an unexpected error, the caller would see a
+        # closed connection and not know whether the work ran.
         logs.event("fault", level="ERROR", request=ex.id, error=repr(error))
-        known = exception.CopperloomError("internal error", run=ex.run)
-        await reply_error(ex, known)
-        return known.code
+        internal = exception.CopperloomError(
+            "unexpected internal error; give the request id to the operators",
+            run=ex.run,
+        )
+        await reply_error(ex, internal)
+        return internal.code
 
 
 async def _within_deadline(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    ex.limit = deadline.Deadline(ex.deadline)
+    ex.deadline_timer = deadline.Deadline(ex.deadline)
     try:
-        await deadline.within(ex.limit, nxt(ex))
+        await deadline.within(ex.deadline_timer, nxt(ex))
     except exception.TimeLimitPassedError as error:
         error.run = ex.run
         raise
@@ -61,18 +64,18 @@
 async def reply_error(
     ex: exchange.Exchange, error: exception.CopperloomError
 ) -> None:
-    """Sends an error as the response, or as the end of a begun stream."""
+    """Sends an error as the response, or as the end of a started stream."""
     if error.run is exception.Run.NOT_RUN and ex.run is not error.run:
-        # An earlier attempt of the same request reached a target: the last
-        # attempt's "not run" would be untrue for the request.
+        # "Not run" holds only for the last attempt; an earlier attempt of
+        # the same request reached a target.
         error.run = ex.run
     body = error_body(ex.id, error)
     if ex.response is not None:
-        await answers.break_off(ex, body)
+        await answers.abort_answer(ex, body)
         return
     headers = {"X-Copperloom-Request": ex.id}
     if error.retry_after_s is not None:
-        # Retry-After counts whole seconds; the body has the exact time.
+        # Retry-After allows whole seconds only; the body has the exact time.
         headers["Retry-After"] = str(math.ceil(error.retry_after_s))
     response = web.Response(
         status=error.status,
@@ -84,8 +87,8 @@
 
 
 def error_body(request_id: str, error: exception.CopperloomError) -> bytes:
-    """Returns the JSON of an error as callers get it."""
-    inner = {
+    """Returns the JSON body that reports an error to a caller."""
+    fields = {
         "code": error.code,
         "name": type(error).__name__.removesuffix("Error"),
         "type": type(error).__name__,
@@ -94,26 +97,26 @@
         "request": request_id,
     }
     if error.retry_after_s is not None:
-        inner["retry_after_s"] = round(error.retry_after_s, 3)
-    return msgspec.json.encode({"error": inner})
+        fields["retry_after_s"] = round(error.retry_after_s, 3)
+    return msgspec.json.encode({"error": fields})
 
 
-def _account(ex: exchange.Exchange, code: int) -> None:
+def _record_outcome(ex: exchange.Exchange, code: int) -> None:
     now = asyncio.get_running_loop().time()
     ex.state.metrics.requests.labels(code).inc()
-    pairs = {"request": ex.id, "code": code, "seconds": now - ex.arrived}
+    fields = {"request": ex.id, "code": code, "seconds": now - ex.arrived}
     if ex.organisation is not None:
-        pairs["organisation"] = ex.organisation.name
+        fields["organisation"] = ex.organisation.name
     if ex.request is not None:
-        pairs["deployment"] = ex.request.deployment
-        pairs["prompt_tokens"] = ex.request.prompt_tokens
+        fields["deployment"] = ex.request.deployment
+        fields["prompt_tokens"] = ex.request.prompt_tokens
     if ex.placement is not None:
-        pairs["target"] = ex.placement.targets[0]
+        fields["target"] = ex.placement.targets[0]
     if ex.first_token_at is not None:
-        first = ex.first_token_at - ex.arrived
-        pairs["first_token_s"] = first
+        first_token_s = ex.first_token_at - ex.arrived
+        fields["first_token_s"] = first_token_s
         if ex.request is not None:
             length = metrics.length_class(ex.request.prompt_tokens)
-            ex.state.metrics.first_token.labels(length).observe(first)
-    pairs["tokens"] = ex.tokens
-    logs.event("outcome", **pairs)
+            ex.state.metrics.first_token.labels(length).observe(first_token_s)
+    fields["tokens"] = ex.tokens
+    logs.event("outcome", **fields)
--- a/copperloom/filters/relay.py
+++ b/copperloom/filters/relay.py
@@ -1,4 +1,4 @@
-"""Sends a request to its engine and relays the answer piece by piece."""
+"""Sends a request to an engine and relays the answer as a stream."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 async def relay(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Tries targets until one runs the work; relays its answer."""
+    """Tries placements until one completes, and relays its answer."""
     number = 0
     while True:
         number += 1
@@ -35,8 +35,8 @@
         ) as error:
             await schedule.fail_over(ex, error)
         except exception.StreamBrokenError as error:
-            # Work that may have run runs again only if that does no harm and
-            # nobody has seen a part of the first answer.
+            # The work may have run: it is repeated only if the request allows
+            # it and the caller has received nothing of the first answer.
             if not ex.request.repeatable or ex.response is not None:
                 raise
             ex.tokens = 0
@@ -45,7 +45,7 @@
 
 
 async def _attempt(ex: exchange.Exchange, number: int) -> None:
-    """Runs one placement to the end of its answer."""
+    """Runs one placement until its answer is complete."""
     state = ex.state
     placement = ex.placement
     if placement.long:
@@ -53,14 +53,14 @@
         await reservation_owners.reserve(state, placement, now)
     try:
         schedule.check_placement(ex)
-        own = _new_attempt(ex, number)
-        whole = False
+        current = _new_attempt(ex, number)
+        completed = False
         try:
-            await _run(ex, own)
-            whole = True
+            await _relay_stream(ex, current)
+            completed = True
         finally:
-            if not whole:
-                attempt.abandon(ex, own)
+            if not completed:
+                attempt.cancel_stream(ex, current)
     finally:
         if placement.long:
             await reservation_owners.release(state, placement)
@@ -71,23 +71,29 @@
     return attempt.Attempt(f"{ex.id}-{number}", lead.address, lead.name)
 
 
-async def _run(ex: exchange.Exchange, own: attempt.Attempt) -> None:
-    """Relays one stream, resuming it after breaks, until its final piece."""
-    ex.stream_path = f"{own.target}/{own.stream}"
-    answer = answers.make(ex, ex.stream_path)
-    sent = asyncio.get_running_loop().time()
-    if sent >= ex.deadline:
-        # A process that was paused here must not start work whose caller was
-        # promised an outcome before now.
+async def _relay_stream(
+    ex: exchange.Exchange, current: attempt.Attempt
+) -> None:
+    """Relays one stream up to its final piece, resuming it after breaks."""
+    ex.stream_path = f"{current.target}/{current.stream}"
+    answer = answers.make_answer(ex, ex.stream_path)
+    sent_at = asyncio.get_running_loop().time()
+    if sent_at >= ex.deadline:
+        # A process that was suspended must not start work after its caller's
+        # deadline.
         raise exception.TimeLimitPassedError(run=ex.run)
-    source = _open(ex, own)
-    before = ex.run
+    source = _open_stream(ex, current)
+    previous_run = ex.run
     ex.run = exception.Run.MAY_HAVE_RUN
     tries = 0
     while True:
         try:
-            await attempt.copy(
-                ex, own, answer, source, on_first=_noter(ex, sent)
+            await attempt.relay_stream(
+                ex,
+                current,
+                answer,
+                source,
+                on_first=_first_token_callback(ex, sent_at),
             )
             break
         except (
@@ -95,28 +101,29 @@
             exception.TargetRefusedError,
         ):
             if tries == 0:
-                ex.run = before
+                ex.run = previous_run
                 raise
-            tries = await attempt.pause(own, tries)
+            tries = await attempt.back_off(current, tries)
         except exception.StreamUnknownError as error:
-            # The engine restarted: nothing of the stream is left to resume.
+            # The engine has restarted and no longer holds the stream.
             raise exception.StreamBrokenError(
-                f"{own.target} lost the stream"
+                f"{current.target} no longer holds the stream, so it cannot be"
+                " resumed"
             ) from error
         except exception.StreamBrokenError:
             ex.state.metrics.resumes.inc()
-            tries = await attempt.pause(own, tries)
-        source = attempt.rest(ex, own)
+            tries = await attempt.back_off(current, tries)
+        source = attempt.resume_stream(ex, current)
     await idempotency.record_completion(ex)
     await answer.end()
 
 
-def _open(ex: exchange.Exchange, own: attempt.Attempt):
-    """Returns the source of a new stream."""
+def _open_stream(ex: exchange.Exchange, current: attempt.Attempt):
+    """Returns the source of a new stream at one engine or a group."""
     req = ex.request
     placement = ex.placement
-    opening = StreamOpen(
-        stream=own.stream,
+    stream_open = StreamOpen(
+        stream=current.stream,
         owner=ex.state.owner,
         organisation=req.organisation,
         deployment=req.deployment,
@@ -131,15 +138,17 @@
     timeout_s = ex.deadline - asyncio.get_running_loop().time()
     if len(placement.targets) > 1:
         return groups.open_group(
-            ex.state, placement, opening, timeout_s=timeout_s
+            ex.state, placement, stream_open, timeout_s=timeout_s
         )
-    return ex.state.targets.open(own.address, opening, timeout_s=timeout_s)
+    return ex.state.targets.open(
+        current.address, stream_open, timeout_s=timeout_s
+    )
 
 
-def _noter(ex: exchange.Exchange, sent: float):
-    """Returns a function that tells the scheduler of the first token."""
+def _first_token_callback(ex: exchange.Exchange, sent_at: float):
+    """Returns a callback that reports the first token to the scheduler."""
 
-    def note(now: float) -> None:
-        scheduler.first_token(ex.state.sched, ex.placement, now, sent=sent)
+    def record(now: float) -> None:
+        scheduler.first_token(ex.state.sched, ex.placement, now, sent=sent_at)
 
-    return note
+    return record
--- a/copperloom/filters/resume.py
+++ b/copperloom/filters/resume.py
@@ -1,4 +1,4 @@
-"""Gives the rest of a stream by its name and offset, at any entry."""
+"""Resumes a stream by its name and offset, at any entry."""
 
 from copperloom import exception
 from copperloom.filters import answers, attempt, exchange, read
@@ -7,38 +7,43 @@
 
 
 async def resume(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Gives the rest of a stream, from any entry, by its name and offset.
+    """Relays a stream from an offset on.
 
-    Only a stream that the engine let us read is cancelled when its reading
-    fails: whoever merely knows a stream's name must not be able to end it.
+    After a failure the stream is cancelled only if the engine has sent pieces
+    of it. Otherwise, knowing the name of a stream would be enough to end it.
     """
     read.set_deadline(ex, ex.state.settings.limits.max_time_limit_s)
     target = ex.cfg.targets.get(ex.http.match_info["target"])
     if target is None:
-        raise exception.StreamUnknownError("its target is not configured")
-    own = attempt.Attempt(
+        raise exception.StreamUnknownError(
+            "the target that the path names is not configured, so the stream"
+            " cannot be resumed"
+        )
+    current = attempt.Attempt(
         ex.http.match_info["stream"], target.address, target.name
     )
-    own.delivered = _offset(ex)
-    ex.stream_path = f"{own.target}/{own.stream}"
+    current.delivered = _offset(ex)
+    ex.stream_path = f"{current.target}/{current.stream}"
     ex.run = exception.Run.MAY_HAVE_RUN
-    answer = answers.make(ex, ex.stream_path)
-    whole = False
+    answer = answers.make_answer(ex, ex.stream_path)
+    completed = False
     tries = 0
     try:
         while True:
             try:
-                await attempt.copy(ex, own, answer, attempt.rest(ex, own))
+                await attempt.relay_stream(
+                    ex, current, answer, attempt.resume_stream(ex, current)
+                )
                 break
             except (
                 exception.TargetUnreachableError,
                 exception.StreamBrokenError,
             ):
-                tries = await attempt.pause(own, tries)
-        whole = True
+                tries = await attempt.back_off(current, tries)
+        completed = True
     finally:
-        if own.taken and not whole:
-            attempt.abandon(ex, own)
+        if current.owned and not completed:
+            attempt.cancel_stream(ex, current)
     await answer.end()
     await nxt(ex)
 
@@ -46,5 +51,7 @@
 def _offset(ex: exchange.Exchange) -> int:
     text = ex.http.query.get("offset", "0")
     if not text.isdecimal():
-        raise exception.HeaderOutOfRangeError("offset must be a number")
+        raise exception.HeaderOutOfRangeError(
+            "the query parameter offset must be a whole number of tokens"
+        )
     return int(text)
--- a/copperloom/filters/schedule.py
+++ b/copperloom/filters/schedule.py
@@ -1,7 +1,7 @@
-"""Waits for the scheduler to place a request.
+"""Waits until the scheduler has placed a request.
 
 The dispatcher (copperloom.controllers.dispatcher) resolves the future that a
-request waits on with a placement or a refusal.
+request waits on, with a placement or with a refusal.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
     "check_placement",
     "fail_over",
     "lead_target",
-    "place_again",
+    "requeue",
     "schedule",
 ]
 
-# An owner's silence or refusal says nothing of the target's health.
-_NOT_THE_TARGETS_FAULT = (
+# The lack of an owner's consent says nothing about the target's health.
+_NOT_TARGET_FAILURES = (
     exception.PeerUnavailableError,
     exception.CapacityExceededError,
     exception.StaleConfigurationError,
@@ -28,50 +28,54 @@
 
 
 async def schedule(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Sets ex.placement, and tells the scheduler when the work is over."""
+    """Sets ex.placement, and reports the end of the work to the scheduler."""
     now = asyncio.get_running_loop().time()
     refusal = scheduler.offer(ex.state.sched, ex.request, now)
     if refusal is not None:
         raise dispatcher.error_of(refusal)
-    await _wait(ex)
-    ok = False
+    await _wait_for_placement(ex)
+    succeeded = False
     try:
         await nxt(ex)
-        ok = True
+        succeeded = True
     finally:
         now = asyncio.get_running_loop().time()
         if ex.placement is not None:
-            scheduler.finished(ex.state.sched, ex.placement, now, ok=ok)
+            scheduler.finished(ex.state.sched, ex.placement, now, ok=succeeded)
         ex.state.wake.set()
 
 
 def lead_target(ex: exchange.Exchange) -> configuration.Target:
-    """Returns the (leading) target as it is configured now.
+    """Returns the lead target from the current configuration.
 
-    The version that the request was admitted under may name an address that
-    the target has left since.
+    The configuration under which the request was admitted may hold an address
+    that the target no longer has.
 
     Raises:
-        copperloom.exception.TargetUnreachableError: It is not configured.
+        copperloom.exception.TargetUnreachableError: The target is no longer
+            configured.
     """
     name = ex.placement.targets[0]
     target = ex.state.cfg.targets.get(name)
     if target is None:
-        raise exception.TargetUnreachableError(f"{name} is not configured")
+        raise exception.TargetUnreachableError(
+            f"{name} is no longer configured as a target"
+        )
     return target
 
 
 async def fail_over(
     ex: exchange.Exchange, error: exception.CopperloomError
 ) -> None:
-    """Accounts for a failed attempt and waits for another placement.
+    """Records a failed attempt and waits for another placement.
 
     Raises:
-        copperloom.exception.CopperloomError: The scheduler gave it up.
+        copperloom.exception.CopperloomError: The scheduler refused to place
+            the request again.
     """
     now = asyncio.get_running_loop().time()
     failed = ex.placement.targets[0]
-    if not isinstance(error, _NOT_THE_TARGETS_FAULT):
+    if not isinstance(error, _NOT_TARGET_FAILURES):
         scheduler.target_failed(ex.state.sched, failed, now)
     ex.state.metrics.retries.labels(type(error).__name__).inc()
     logs.event(
@@ -81,58 +85,66 @@
         code=error.code,
         error=str(error),
     )
-    await place_again(ex, avoid=failed)
+    await requeue(ex, avoid=failed)
 
 
-async def place_again(ex: exchange.Exchange, *, avoid: str) -> None:
-    """Gives back a placement that was not run and waits for another.
+async def requeue(ex: exchange.Exchange, *, avoid: str) -> None:
+    """Gives a failed placement back to the scheduler and waits for another.
+
+    Args:
+        ex: The request.
+        avoid: Name of the target that failed.
 
     Raises:
-        copperloom.exception.CopperloomError: The scheduler gave it up.
+        copperloom.exception.CopperloomError: The scheduler refused to place
+            the request again.
     """
     now = asyncio.get_running_loop().time()
     placement, ex.placement = ex.placement, None
     refusal = scheduler.requeue(ex.state.sched, placement, now, avoid=avoid)
     if refusal is not None:
         raise dispatcher.error_of(refusal)
-    await _wait(ex)
+    await _wait_for_placement(ex)
 
 
 def check_placement(ex: exchange.Exchange) -> None:
-    """Lets a placement be sent only if it could be made now.
+    """Raises unless the placement is still valid.
 
-    It may be old: the process was paused after it was made, or waited for an
-    owner's consent. A target that leaves since then would get new work.
+    A placement may be outdated when the process was suspended, or waited for
+    an owner's consent. A target that started to drain meanwhile must not get
+    new work.
 
     Raises:
-        copperloom.exception.StaleConfigurationError: Nothing tells whether
-            the configuration is still in force.
-        copperloom.exception.TargetRefusedError: A target leaves.
+        copperloom.exception.StaleConfigurationError: The configuration may be
+            out of date.
+        copperloom.exception.TargetRefusedError: A target is draining.
     """
     config.may_admit(ex.state, asyncio.get_running_loop().time())
-    gone = ex.state.sched.leaving.intersection(ex.placement.targets)
-    if gone:
-        raise exception.TargetRefusedError(f"{min(gone)} is leaving")
+    draining = ex.state.sched.leaving.intersection(ex.placement.targets)
+    if draining:
+        raise exception.TargetRefusedError(
+            f"{min(draining)} is draining and takes no new work"
+        )
 
 
-async def _wait(ex: exchange.Exchange) -> None:
+async def _wait_for_placement(ex: exchange.Exchange) -> None:
     future = dispatcher.expect(ex.state, ex.request.id)
     ex.state.wake.set()
     try:
         ex.placement = await future
     except asyncio.CancelledError:
-        _give_back(ex, future)
+        _withdraw(ex, future)
         raise
     finally:
         dispatcher.unexpect(ex.state, ex.request.id)
 
 
-def _give_back(ex: exchange.Exchange, future: asyncio.Future) -> None:
-    """Leaves the queue, also if the placement came as the caller went.
+def _withdraw(ex: exchange.Exchange, future: asyncio.Future) -> None:
+    """Removes the request from the scheduler, whether queued or placed.
 
-    Without the second case a caller that goes in the very turn of the loop in
-    which its request is placed would leave the target's count too high for
-    good.
+    The caller may disconnect in the same iteration of the event loop in which
+    its request is placed. If that placement were not ended, the target's load
+    would stay too high permanently.
     """
     placed = future.done() and not future.cancelled()
     if placed and future.exception() is None:
--- a/copperloom/filters/service.py
+++ b/copperloom/filters/service.py
@@ -1,4 +1,4 @@
-"""Passes a call on to a plain service."""
+"""Forwards a call to a plain service."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def call(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Calls targets until one runs the work; sets ex.response."""
+    """Tries placements until one completes, and sets ex.response."""
     while True:
         try:
             reply = await _attempt(ex)
@@ -27,7 +27,7 @@
             if not ex.request.repeatable:
                 raise
             await schedule.fail_over(ex, error)
-    await _finish(ex, reply)
+    await _respond(ex, reply)
     await nxt(ex)
 
 
@@ -37,21 +37,21 @@
         raise exception.TimeLimitPassedError(run=ex.run)
     schedule.check_placement(ex)
     target = schedule.lead_target(ex)
-    before = ex.run
+    previous_run = ex.run
     ex.run = exception.Run.MAY_HAVE_RUN
     try:
         return await ex.state.targets.call(
-            target.address, _call(ex), timeout_s=ex.deadline - now
+            target.address, _build_call(ex), timeout_s=ex.deadline - now
         )
     except (
         exception.TargetUnreachableError,
         exception.TargetRefusedError,
     ):
-        ex.run = before
+        ex.run = previous_run
         raise
 
 
-def _call(ex: exchange.Exchange) -> ServiceCall:
+def _build_call(ex: exchange.Exchange) -> ServiceCall:
     path = "/" + ex.http.match_info["path"]
     if ex.http.query_string:
         path += "?" + ex.http.query_string
@@ -65,12 +65,14 @@
     )
 
 
-async def _finish(ex: exchange.Exchange, reply: ServiceReply) -> None:
-    answers.note_first_token(ex)
-    if ex.kept is not None:
-        ex.kept.add(reply.body)
-        ex.kept.status = reply.status
-        ex.kept.content_type = reply.content_type or "application/octet-stream"
+async def _respond(ex: exchange.Exchange, reply: ServiceReply) -> None:
+    answers.record_first_token(ex)
+    if ex.stored_answer is not None:
+        ex.stored_answer.add(reply.body)
+        ex.stored_answer.status = reply.status
+        ex.stored_answer.content_type = (
+            reply.content_type or "application/octet-stream"
+        )
     await idempotency.record_completion(ex)
     response = web.Response(
         status=reply.status,
--- a/copperloom/filters/staleness.py
+++ b/copperloom/filters/staleness.py
@@ -1,4 +1,4 @@
-"""Refuses work while this instance can't know what is in force."""
+"""Refuses work while the entry's configuration may be out of date."""
 
 import asyncio
 
@@ -10,13 +10,18 @@
 
 
 async def require_current(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Refuses with code 5006 unless the configuration may be acted upon.
+    """Passes a request on only if the configuration is known to be in force.
 
-    An entry that is cut off would go on under an old preset, or send work to
-    a retired target, long after operators were told that their change is in
-    force. It stops admitting before the promised time has passed.
+    A partitioned entry would otherwise apply an old preset, or send work to a
+    retired target, after operators were told that their change is in force.
+
+    Raises:
+        copperloom.exception.StaleConfigurationError: The configuration may be
+            out of date, or none has been loaded.
     """
     if not ex.state.cfg_loaded:
-        raise exception.StaleConfigurationError("no configuration yet")
+        raise exception.StaleConfigurationError(
+            "the entry has not loaded a configuration yet; try again later"
+        )
     config.may_admit(ex.state, asyncio.get_running_loop().time())
     await nxt(ex)
--- a/copperloom/filters/tests/test_deadline.py
+++ b/copperloom/filters/tests/test_deadline.py
@@ -1,4 +1,4 @@
-"""The time limit holds also where a cancellation is lost on the way."""
+"""Tests of time limits, also when a cancellation is swallowed."""
 
 import asyncio
 import time
@@ -9,11 +9,10 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_cancellation_taken_by_another(self):
-        """A library takes the cancellation for that of its own time limit.
+    async def test_swallowed_cancellation_is_repeated(self):
+        """A request whose cancellation a library swallows must still end.
 
-        The work then waits for something that never comes. The caller still
-        gets its outcome, and the task can send it.
+        The task must then be able to send the outcome.
         """
 
         async def work() -> None:
@@ -23,15 +22,15 @@
                 asyncio.current_task().uncancel()
             await asyncio.sleep(60)
 
-        begun = time.monotonic()
-        limit = deadline.Deadline(begun + 0.05)
+        started_at = time.monotonic()
+        limit = deadline.Deadline(started_at + 0.05)
         with self.assertRaises(exception.TimeLimitPassedError):
             await deadline.within(limit, work())
-        self.assertLess(time.monotonic() - begun, 10)
+        self.assertLess(time.monotonic() - started_at, 10)
         await asyncio.sleep(0.15)
 
-    async def test_caller_gone(self):
-        """A cancellation that is not the limit's own goes through."""
+    async def test_other_cancellation_is_passed_on(self):
+        """A cancellation by others must not be reported as a timeout."""
         reached = asyncio.Event()
 
         async def request() -> None:
@@ -45,7 +44,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
 
-    async def test_rescheduled(self):
+    async def test_rescheduled_deadline_expires(self):
         limit = deadline.Deadline(time.monotonic() + 60)
         limit.reschedule(time.monotonic() - 1)
         with self.assertRaises(exception.TimeLimitPassedError):
--- a/copperloom/filters/tests/test_relay.py
+++ b/copperloom/filters/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers get when engines break, by a whole entry on scripted engines."""
+"""Tests of what callers get from an entry when its engines fail."""
 
 import asyncio
 import types
@@ -16,15 +16,15 @@
 _TOKENS = 3
 
 
-class Script:
-    """Scripted engines.
+class ScriptedEngines:
+    """Engines that fail as the test prescribes.
 
     Attributes:
         opened: Target addresses in the order in which streams were opened.
         cancelled: Names of cancelled streams.
-        breaks: Tokens after which each opened stream breaks, in order; a
-            stream with none left runs to its end.
-        resume_error: What a resume raises; None lets it go on.
+        breaks: Tokens after which each opened stream breaks, in order; later
+            streams run to their end.
+        resume_error: Error that a resume raises; None lets it succeed.
     """
 
     def __init__(self):
@@ -34,23 +34,23 @@
         self.resume_error: exception.CopperloomError | None = None
 
     async def open(self, address, req, *, timeout_s):
-        """Gives the pieces up to the scripted break."""
+        """Yields the pieces up to the next scripted break."""
         self.opened.append(address)
-        most = self.breaks.pop(0) if self.breaks else None
+        break_at = self.breaks.pop(0) if self.breaks else None
         for pieces in _pieces(req.stream, 0):
-            if pieces[0].offset == most:
+            if pieces[0].offset == break_at:
                 raise exception.StreamBrokenError("scripted")
             yield pieces
 
     async def resume(self, address, stream, offset, *args, timeout_s):
-        """Gives the rest."""
+        """Yields the remaining pieces, or raises the scripted error."""
         if self.resume_error is not None:
             raise self.resume_error
         for pieces in _pieces(stream, offset):
             yield pieces
 
     async def cancel(self, address, stream, *, timeout_s):
-        """Notes a cancel."""
+        """Records a cancel."""
         self.cancelled.append(stream)
 
 
@@ -73,7 +73,7 @@
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.script = Script()
+        self.script = ScriptedEngines()
         self.entry = fixtures.entry_state(self, "127.0.0.1:1")
         self.entry.targets = types.SimpleNamespace(
             open=self.script.open,
@@ -103,73 +103,71 @@
             headers={"Authorization": "Bearer org"} | headers,
         )
 
-    async def ask(self, **headers) -> tuple[int, dict]:
-        named = {k.replace("_", "-"): v for k, v in headers.items()}
-        reply = await self.post(named)
+    async def post_and_decode(self, **headers) -> tuple[int, dict]:
+        http_headers = {k.replace("_", "-"): v for k, v in headers.items()}
+        reply = await self.post(http_headers)
         return reply.status, await reply.json()
 
-    async def stream(self) -> str:
+    async def post_stream(self) -> str:
         reply = await self.post({}, stream=True)
         return await reply.text()
 
     def content(self, reply: dict) -> str:
         return reply["choices"][0]["message"]["content"]
 
-    async def test_break_is_resumed_at_the_same_engine(self):
+    async def test_broken_stream_is_resumed_at_the_same_engine(self):
         self.script.breaks = [1]
-        status, reply = await self.ask()
+        status, reply = await self.post_and_decode()
         self.assertEqual(status, 200)
         self.assertEqual(self.content(reply), "t0 t1 t2 ")
         self.assertEqual(len(self.script.opened), 1)
 
-    async def test_engine_that_lost_the_stream_before_its_first_token(self):
-        """An engine restarts while a prompt waits in it.
+    async def test_stream_lost_before_its_first_token_runs_elsewhere(self):
+        """A restart of the engine before the first token must stay hidden.
 
-        The connection breaks, and the new boot does not know the stream. The
-        work is repeatable and nobody has seen a part of it, so another engine
-        runs it; the caller sees nothing but a later first token. Without that
-        the caller gets a 404 that speaks of a resume it never asked for.
+        Another engine must run the work. The caller would otherwise get a 404
+        for a resume that it did not request.
         """
         self.script.breaks = [0]
         self.script.resume_error = exception.StreamUnknownError()
-        status, reply = await self.ask()
+        status, reply = await self.post_and_decode()
         self.assertEqual(status, 200, reply)
         self.assertEqual(self.content(reply), "t0 t1 t2 ")
         self.assertEqual(len(set(self.script.opened)), 2)
 
     async def test_lost_work_that_is_not_repeatable_runs_once(self):
-        """As above, but the work may not run twice: it is told truthfully."""
+        """Work that may not be repeated must be reported as possibly run."""
         self.script.breaks = [0]
         self.script.resume_error = exception.StreamUnknownError()
-        status, reply = await self.ask(X_Copperloom_Not_Repeatable="true")
+        status, reply = await self.post_and_decode(
+            X_Copperloom_Not_Repeatable="true"
+        )
         self.assertEqual(status, 502, reply)
         self.assertEqual(reply["error"]["code"], 4004)
         self.assertEqual(reply["error"]["run"], "may_have_run")
         self.assertEqual(len(self.script.opened), 1)
 
-    async def test_stream_lost_in_its_middle_is_not_patched_together(self):
-        """An engine is lost after a part of the answer went to the caller.
+    async def test_partly_sent_stream_is_not_continued_elsewhere(self):
+        """Answers of two engines must not be mixed in one stream.
 
-        Another engine's answer may differ, so the rest must not come from it:
-        the stream ends with an error, without the mark of a whole answer.
+        The stream must end with an error, and without [DONE].
         """
         self.script.breaks = [2]
         self.script.resume_error = exception.StreamUnknownError()
-        text = await self.stream()
+        text = await self.post_stream()
         self.assertIn('"content":"t1 "', text)
         self.assertIn('"code":4004', text)
         self.assertNotIn("[DONE]", text)
         self.assertEqual(len(self.script.opened), 1)
 
-    async def test_whole_answer_lost_in_its_middle_runs_anew(self):
-        """As above for a caller who waits for the whole answer at once.
+    async def test_partly_received_json_answer_runs_again_elsewhere(self):
+        """Tokens of a failed engine must not appear in a JSON answer.
 
-        It has seen nothing, so another engine answers from the start; the
-        first part must not stand in the answer or be counted.
+        Another engine must answer from the start, and only its tokens count.
         """
         self.script.breaks = [2]
         self.script.resume_error = exception.StreamUnknownError()
-        status, reply = await self.ask()
+        status, reply = await self.post_and_decode()
         self.assertEqual(status, 200, reply)
         self.assertEqual(self.content(reply), "t0 t1 t2 ")
         self.assertEqual(reply["usage"]["completion_tokens"], _TOKENS)
@@ -178,5 +176,5 @@
     async def test_lost_stream_is_cancelled(self):
         self.script.breaks = [0]
         self.script.resume_error = exception.StreamUnknownError()
-        await self.ask(X_Copperloom_Not_Repeatable="true")
+        await self.post_and_decode(X_Copperloom_Not_Repeatable="true")
         await fixtures.until(lambda: self.script.cancelled)
--- a/copperloom/filters/tests/test_schedule.py
+++ b/copperloom/filters/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""Work that was queued or placed before a pause."""
+"""Tests of work that was queued or placed while the process was suspended."""
 
 import asyncio
 import types
@@ -13,17 +13,17 @@
 _SERVICE = configuration.TargetKind.SERVICE
 
 
-class PauseTest(unittest.IsolatedAsyncioTestCase):
+class SuspendedProcessTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.entry = fixtures.entry_state(self, "127.0.0.1:1")
 
     async def asyncSetUp(self):
         self.now = asyncio.get_running_loop().time()
-        put = fixtures.target("t", kind=_SERVICE, serves=("d",))
-        change = configuration.Change(1, "n", "o", (put,))
+        entity = fixtures.target("t", kind=_SERVICE, serves=("d",))
+        change = configuration.Change(1, "n", "o", (entity,))
         cfg = configuration.apply(configuration.Configuration(), change)
         config.adopt(self.entry, cfg, self.now)
-        # One of two members: without a proof it may not go on.
+        # With a second member the configuration needs to be confirmed.
         self.entry.members["b"] = types.SimpleNamespace(
             heard_at=float("-inf"), version=0
         )
@@ -42,18 +42,17 @@
         )
 
     def exchange(self):
-        placed = messages.Placement(self.request, ("t",), (0,), 0)
-        return types.SimpleNamespace(state=self.entry, placement=placed)
+        placement = messages.Placement(self.request, ("t",), (0,), 0)
+        return types.SimpleNamespace(state=self.entry, placement=placement)
 
-    async def test_target_that_has_moved(self):
-        """A target gets another address while a request waits for it.
+    async def test_request_goes_to_the_current_address(self):
+        """A request must not go to an address that its target no longer has.
 
-        Sent to the old one, it would reach nobody, or whoever has that
-        address now.
+        Another process may use that address now.
         """
-        put = fixtures.target("t", kind=_SERVICE, serves=("d",))
-        put[1]["address"] = "127.0.0.1:10"
-        change = configuration.Change(2, "n", "o", (put,))
+        entity = fixtures.target("t", kind=_SERVICE, serves=("d",))
+        entity[1]["address"] = "127.0.0.1:10"
+        change = configuration.Change(2, "n", "o", (entity,))
         ex = self.exchange()
         ex.cfg = self.entry.cfg
         config.adopt(
@@ -61,28 +60,27 @@
         )
         self.assertEqual(schedule.lead_target(ex).address, "127.0.0.1:10")
 
-    async def test_queued_work_waits_for_a_proof(self):
-        """The process wakes up with work queued and an old configuration.
+    async def test_queued_work_waits_for_a_confirmed_configuration(self):
+        """Queued work must not be placed under an outdated configuration.
 
-        A target may have been retired meanwhile. The work is placed once the
-        configuration is known to be in force.
+        Its target may have been retired while the process was suspended.
         """
         future = dispatcher.expect(self.entry, self.request.id)
         scheduler.offer(self.entry.sched, self.request, self.now)
-        again_at = dispatcher.step(self.entry, self.now)
+        next_step_at = dispatcher.step(self.entry, self.now)
         self.assertFalse(future.done())
-        self.assertIsNotNone(again_at)
+        self.assertIsNotNone(next_step_at)
         config.confirm(self.entry, self.now)
         dispatcher.step(self.entry, self.now)
         self.assertEqual(future.result().targets, ("t",))
 
-    async def test_placed_work_waits_for_a_proof(self):
+    async def test_placed_work_waits_for_a_confirmed_configuration(self):
         with self.assertRaises(exception.StaleConfigurationError):
             schedule.check_placement(self.exchange())
         config.confirm(self.entry, self.now)
         schedule.check_placement(self.exchange())
 
-    async def test_placed_work_does_not_go_to_a_target_that_left(self):
+    async def test_placed_work_is_not_sent_to_a_draining_target(self):
         config.confirm(self.entry, self.now)
         scheduler.set_draining(self.entry.sched, frozenset(["t"]), self.now)
         with self.assertRaises(exception.TargetRefusedError):
--- a/copperloom/filters/token_batching.py
+++ b/copperloom/filters/token_batching.py
@@ -1,54 +1,60 @@
-"""Gathers tokens of a fast stream for some milliseconds.
+"""Batches the tokens of fast streams.
 
-Made for an entry's share of the peak, thousands of tokens a second. Each
-wake, read and write costs tens of microseconds of processor time whatever it
-carries, which makes them the entry's main cost. A stream whose tokens come
-faster than the gathering time is read less often; a slower one is read as its
-tokens come, since waiting would only add wakes. The first token is never held.
+The CPU cost of reading from an engine and writing to a caller hardly depends
+on the number of tokens, and is the main cost of an entry. A stream whose tokens
+arrive faster than the maximum delay is therefore read less often. A slower
+stream is read as its tokens arrive, since a delay would batch nothing. The
+first token is never delayed.
 """
 
 import asyncio
 
-__all__ = ["TokenRate", "delay_s", "pause"]
+__all__ = ["TokenRate", "delay_s", "wait"]
 
-# Gathering pays from about two tokens a read on.
-_LEAST_TOKENS = 1.5
-# Weight of the newest spacing: a few reads are enough to follow a change.
-_NEWEST = 0.3
+# A delay pays only if it batches more than one token per read.
+_MIN_TOKENS = 1.5
+# Weight of the newest gap in the average; a few reads follow a change.
+_NEWEST_WEIGHT = 0.3
 
 
 class TokenRate:
-    """How fast a stream's tokens come.
+    """The rate at which the tokens of a stream arrive.
 
     Attributes:
-        gather_s: Longest time for which a token may be held, in seconds.
-        last: Monotonic time of the last read.
-        spacing_s: Smoothed seconds between tokens.
+        max_delay_s: Maximum time for which a token may be delayed, in seconds.
+        last_read_at: Monotonic time of the last read, in seconds.
+        token_gap_s: Moving average of the gap between tokens, in seconds.
     """
 
-    def __init__(self, gather_s: float):
-        self.gather_s = gather_s
-        self.last: float | None = None
-        self.spacing_s = float("inf")
+    def __init__(self, max_delay_s: float):
+        self.max_delay_s = max_delay_s
+        self.last_read_at: float | None = None
+        self.token_gap_s = float("inf")
 
 
-def delay_s(pace: TokenRate, tokens: int, now: float) -> float:
-    """Returns how long to wait before the next read, 0 for not at all."""
-    last, pace.last = pace.last, now
-    if last is None or not tokens:
+def delay_s(rate: TokenRate, tokens: int, now: float) -> float:
+    """Returns the delay before the next read in seconds, 0 for none.
+
+    Args:
+        rate: Rate of the stream; updated.
+        tokens: Tokens of the read that has just ended.
+        now: Monotonic time, in seconds.
+    """
+    last_read_at, rate.last_read_at = rate.last_read_at, now
+    if last_read_at is None or not tokens:
         return 0.0
-    spacing_s = (now - last) / tokens
-    if pace.spacing_s == float("inf"):
-        pace.spacing_s = spacing_s
+    gap_s = (now - last_read_at) / tokens
+    if rate.token_gap_s == float("inf"):
+        rate.token_gap_s = gap_s
     else:
-        pace.spacing_s += _NEWEST * (spacing_s - pace.spacing_s)
-    if pace.spacing_s * _LEAST_TOKENS > pace.gather_s:
+        rate.token_gap_s += _NEWEST_WEIGHT * (gap_s - rate.token_gap_s)
+    if rate.token_gap_s * _MIN_TOKENS > rate.max_delay_s:
         return 0.0
-    return pace.gather_s
+    return rate.max_delay_s
 
 
-async def pause(pace: TokenRate, tokens: int) -> None:
-    """Waits before the next read, if that gathers tokens."""
-    wait_s = delay_s(pace, tokens, asyncio.get_running_loop().time())
+async def wait(rate: TokenRate, tokens: int) -> None:
+    """Waits before the next read if that batches tokens."""
+    wait_s = delay_s(rate, tokens, asyncio.get_running_loop().time())
     if wait_s:
         await asyncio.sleep(wait_s)
