--- a/copperloom/targets/groups.py
+++ b/copperloom/targets/groups.py
@@ -1,8 +1,8 @@
-"""Runs a prompt that is larger than one engine over several of them.
+"""Runs a prompt that is larger than one engine on a group of engines.
 
-The engines behind the leading one each hold a part of the prompt in memory;
-the leading one takes the parts in and generates. Either all parts hold or the
-work does not start; whatever ends the answer, every part is cancelled.
+Each helper engine prefills a part of the prompt and holds it in memory. The
+lead engine imports these parts and decodes. The work starts only if all parts
+are held, and every part is cancelled at the end of the answer or on failure.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 
 __all__ = ["open_group", "part_name"]
 
-# The lead can be read again after a cut while its parts hold.
-_RESUME_TRIES = 5
+# The lead's stream can be resumed as long as its parts are held.
+_MAX_RESUME_TRIES = 5
 _RESUME_WAIT_S = 0.2
-# Touches within the time after which an unread part may be cancelled by the
-# engine's owner; several, so that one that is lost does no harm.
-_TOUCHES = 4
-_TOUCH_TIMEOUT_S = 2.0
+# Keep-alive requests within the time after which an engine's owner may cancel
+# an unread part; more than one, so that a lost request has no effect.
+_KEEPALIVES_PER_TIMEOUT = 4
+_KEEPALIVE_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,131 +34,147 @@
 
 
 def part_name(stream: str, index: int) -> str:
-    """Returns the name of a group's part; its index counts from 1."""
+    """Returns the stream name of a part; parts are numbered from 1."""
     return f"{stream}.{index}"
 
 
 async def open_group(
     state: EntryState,
     placement: messages.Placement,
-    opening: StreamOpen,
+    stream_open: StreamOpen,
     *,
     timeout_s: float,
 ) -> AsyncIterator[list[Piece]]:
-    """Opens a stream over all targets of a placement and reads its answer.
+    """Opens a stream on all targets of a placement and relays the answer.
 
     Args:
-        state: The entry's state.
-        placement: Targets, the leading one first, and the tokens at each.
-        opening: What to ask, with the length of the whole prompt.
-        timeout_s: Time limit of the whole, in seconds.
+        state: State of the entry.
+        placement: Targets, the lead first, and the tokens at each.
+        stream_open: Request for the entire prompt.
+        timeout_s: Time limit of the entire request, in seconds.
 
     Yields:
         Lists of pieces, as `Targets.open` does.
 
     Raises:
-        copperloom.exception.TargetUnreachableError: Not run: a part or the
-            lead could not be reached.
-        copperloom.exception.TargetRefusedError: Not run: a part or the lead
-            did not get its memory.
-        copperloom.exception.StreamBrokenError: May have run.
+        copperloom.exception.TargetUnreachableError: Not run; an engine could
+            not be reached.
+        copperloom.exception.TargetRefusedError: Not run; an engine refused the
+            work, or a helper engine failed to hold its part.
+        copperloom.exception.TargetFailedError: The lead engine failed.
+        copperloom.exception.StreamBrokenError: The answer was interrupted; the
+            work may have run.
     """
-    end = asyncio.get_running_loop().time() + timeout_s
-    lead, *parts = _parts(state, placement, opening.stream)
-    whole = False
-    touching = None
+    deadline = asyncio.get_running_loop().time() + timeout_s
+    lead, *parts = _build_parts(state, placement, stream_open.stream)
+    completed = False
+    keepalive = None
     try:
-        await _hold_all(state, parts, opening, end)
-        touching = asyncio.create_task(_touch(state, parts, opening))
-        answer = _read_lead(state, lead, parts, opening, end)
+        await _prefill_parts(state, parts, stream_open, deadline)
+        keepalive = asyncio.create_task(
+            _keep_parts_alive(state, parts, stream_open)
+        )
+        answer = _relay_lead(state, lead, parts, stream_open, deadline)
         async with contextlib.aclosing(answer):
             async for pieces in answer:
                 yield pieces
-        whole = True
+        completed = True
     finally:
-        if touching is not None:
-            touching.cancel()
+        if keepalive is not None:
+            keepalive.cancel()
         for part in parts:
             reclaim.cancel(state, part.address, part.stream)
-        if not whole:
+        if not completed:
             reclaim.cancel(state, lead.address, lead.stream)
 
 
-def _parts(
+def _build_parts(
     state: EntryState, placement: messages.Placement, stream: str
 ) -> list[_Part]:
-    out = []
+    parts = []
     pairs = zip(placement.targets, placement.tokens, strict=True)
     for index, (name, tokens) in enumerate(pairs):
         tgt = state.cfg.targets.get(name)
         if tgt is None:
-            raise exception.TargetUnreachableError(f"{name} is not configured")
+            raise exception.TargetUnreachableError(
+                f"{name} is no longer configured as a target"
+            )
         part = part_name(stream, index) if index else stream
-        out.append(_Part(part, tgt.address, tokens))
-    return out
+        parts.append(_Part(part, tgt.address, tokens))
+    return parts
 
 
-async def _hold_all(
-    state: EntryState, parts: list[_Part], opening: StreamOpen, end: float
+async def _prefill_parts(
+    state: EntryState,
+    parts: list[_Part],
+    stream_open: StreamOpen,
+    deadline: float,
 ) -> None:
-    """Fills all parts, or raises; the caller cancels them then.
+    """Prefills all parts concurrently, or raises.
 
-    The parts are asked in the order of their addresses, and filled side by
-    side, since prefill takes most of the time. Two groups that want the same
-    engines cannot wait for each other: an engine refuses a part that has no
-    room instead of letting it wait.
+    The requests start in the order of the engines' addresses. After an error
+    the caller must cancel the parts. Two groups that need the same engines
+    cannot deadlock: an engine without free memory refuses a part instead of
+    queueing it.
     """
     in_order = sorted(parts, key=lambda part: part.address)
     tasks = [
-        asyncio.create_task(_hold(state, part, opening, end))
+        asyncio.create_task(_prefill_part(state, part, stream_open, deadline))
         for part in in_order
     ]
     try:
         await asyncio.gather(*tasks)
     except exception.StreamBrokenError as error:
-        # Holding a part generates nothing and the lead was not sent.
-        raise exception.TargetRefusedError(f"a part broke: {error}") from error
+        # Nothing has run: a helper does not decode, and the lead has not been
+        # opened yet.
+        raise exception.TargetRefusedError(
+            f"a helper engine did not confirm its part of the prompt: {error}"
+        ) from error
     except exception.TargetFailedError as error:
-        raise exception.TargetRefusedError(f"a part failed: {error}") from error
+        raise exception.TargetRefusedError(
+            f"a helper engine failed to prefill its part of the prompt: {error}"
+        ) from error
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _hold(
-    state: EntryState, part: _Part, opening: StreamOpen, end: float
+async def _prefill_part(
+    state: EntryState, part: _Part, stream_open: StreamOpen, deadline: float
 ) -> None:
     req = dataclasses.replace(
-        opening,
+        stream_open,
         stream=part.stream,
         prompt_tokens=part.tokens,
         prefix="",
         key="",
         hold=True,
     )
-    left_s = end - asyncio.get_running_loop().time()
-    source = state.targets.open(part.address, req, timeout_s=left_s)
+    remaining_s = deadline - asyncio.get_running_loop().time()
+    source = state.targets.open(part.address, req, timeout_s=remaining_s)
     async with contextlib.aclosing(source):
         async for _ in source:
             pass
 
 
-async def _read_lead(
+async def _relay_lead(
     state: EntryState,
     lead: _Part,
     parts: list[_Part],
-    opening: StreamOpen,
-    end: float,
+    stream_open: StreamOpen,
+    deadline: float,
 ) -> AsyncIterator[list[Piece]]:
-    """Reads the lead's answer, resuming it here while the parts hold."""
+    """Relays the lead's answer, and resumes it while the parts are held."""
     loop = asyncio.get_running_loop()
     req = dataclasses.replace(
-        opening,
-        prompt_tokens=max(lead.tokens - opening.max_tokens, 1),
+        stream_open,
+        prompt_tokens=max(lead.tokens - stream_open.max_tokens, 1),
         imports=tuple(f"{part.address}/{part.stream}" for part in parts),
     )
-    source = state.targets.open(lead.address, req, timeout_s=end - loop.time())
+    source = state.targets.open(
+        lead.address, req, timeout_s=deadline - loop.time()
+    )
     offset = 0
     tries = 0
     while True:
@@ -177,41 +193,41 @@
             if not opened and not offset:
                 raise
             tries += 1
-            if tries > _RESUME_TRIES or loop.time() >= end:
+            if tries > _MAX_RESUME_TRIES or loop.time() >= deadline:
                 raise exception.StreamBrokenError(str(error)) from error
         except exception.StreamUnknownError as error:
-            # It ended at the engine, for example because a part was lost.
+            # The engine ended the stream, for example because a part is lost.
             raise exception.StreamBrokenError(str(error)) from error
         await asyncio.sleep(_RESUME_WAIT_S)
         source = state.targets.resume(
             lead.address,
             lead.stream,
             offset,
-            opening.owner,
-            opening.organisation,
-            timeout_s=end - loop.time(),
+            stream_open.owner,
+            stream_open.organisation,
+            timeout_s=deadline - loop.time(),
         )
 
 
-async def _touch(
-    state: EntryState, parts: list[_Part], opening: StreamOpen
+async def _keep_parts_alive(
+    state: EntryState, parts: list[_Part], stream_open: StreamOpen
 ) -> None:
-    """Reads the held parts again and again, so that none looks left behind.
+    """Reads the held parts at regular intervals, so that they stay allocated.
 
-    Without this an engine's owner that hears nothing from this entry would
-    take a part, which nobody reads while the lead generates, for abandoned.
+    No client reads a part while the lead decodes. The owner of its engine would
+    otherwise cancel the part as orphaned if it lost contact with this entry.
     """
-    every_s = state.settings.membership.dead_s / _TOUCHES
+    interval_s = state.settings.membership.dead_s / _KEEPALIVES_PER_TIMEOUT
     while True:
-        await asyncio.sleep(every_s)
+        await asyncio.sleep(interval_s)
         for part in parts:
             source = state.targets.resume(
                 part.address,
                 part.stream,
                 0,
-                opening.owner,
-                opening.organisation,
-                timeout_s=min(every_s, _TOUCH_TIMEOUT_S),
+                stream_open.owner,
+                stream_open.organisation,
+                timeout_s=min(interval_s, _KEEPALIVE_TIMEOUT_S),
             )
             with contextlib.suppress(exception.CopperloomError):
                 async with contextlib.aclosing(source):
--- a/copperloom/targets/http.py
+++ b/copperloom/targets/http.py
@@ -1,8 +1,8 @@
-"""Engines and plain services by HTTP, as docs/PROTOCOLS.md tells.
+"""A client of engines and plain services over HTTP (docs/PROTOCOLS.md).
 
-The only module that knows the targets' protocol. What may be believed about a
-call that failed is decided here: *not run* is said only where no byte of the
-request can have reached the target, or where the target itself says so.
+This is the only module that knows the targets' protocol. It decides whether a
+failed call may have run: *not run* is reported only if no byte of the request
+can have reached the target, or if the target itself reports it.
 """
 
 import contextlib
@@ -19,27 +19,26 @@
 
 __all__ = ["connect"]
 
-# Shorter than the targets' own limit, so that this side closes an idle
-# connection first: a request on a connection that the target has just closed
-# breaks and can only be reported as "may have run".
+# Shorter than the targets' own limit, so that the client closes an idle
+# connection first. A request on a connection that the target has just closed
+# fails and can only be reported as "may have run".
 _KEEP_ALIVE_S = 10.0
-# aiohttp rounds longer time limits up to whole seconds, which would let a
-# request pass its deadline; this turns the rounding off.
-_NO_ROUNDING_S = 1e9
-# About seventy times the time between two tokens at the design size, so that
-# a busy engine is not taken for a dead connection; short enough that a caller
-# with a time limit of a minute still gets its answer by another connection.
-_STALL_S = 5.0
+# aiohttp rounds timeouts above a threshold up to whole seconds, which would let
+# a request exceed its deadline. No timeout reaches this threshold.
+_ROUNDING_THRESHOLD_S = 1e9
+# Many times the usual gap between tokens, so that a busy engine is not mistaken
+# for a dead connection; short enough to resume within a caller's time limit.
+_STALL_TIMEOUT_S = 5.0
 _OK = 200
 _FORBIDDEN = 403
 _NOT_FOUND = 404
 _CONFLICT = 409
 _UNAVAILABLE = 503
-_ERROR_BYTES = 2000
-# A larger body is sent in parts, so that a prompt of a million tokens does
-# not stand twice in memory nor hold up the loop while it is written.
-_WHOLE_BYTES = 1 << 20
-_PART_BYTES = 1 << 18
+_MAX_ERROR_BYTES = 2000
+# A larger body is sent in chunks, so that a long prompt is not copied entirely
+# and does not block the event loop.
+_MAX_UNCHUNKED_BYTES = 1 << 20
+_CHUNK_BYTES = 1 << 18
 
 
 class _ErrorBody(msgspec.Struct):
@@ -52,14 +51,14 @@
     events: list[interface.CacheEvent]
 
 
-_STREAMS = msgspec.json.Decoder(list[interface.StreamInfo])
-_LOAD = msgspec.json.Decoder(interface.LoadReport)
-_EVENTS = msgspec.json.Decoder(_Events)
-_ERROR = msgspec.json.Decoder(_ErrorBody)
+_STREAMS_DECODER = msgspec.json.Decoder(list[interface.StreamInfo])
+_LOAD_DECODER = msgspec.json.Decoder(interface.LoadReport)
+_EVENTS_DECODER = msgspec.json.Decoder(_Events)
+_ERROR_DECODER = msgspec.json.Decoder(_ErrorBody)
 
 
 class _Client:
-    """The one session, made by the first call, when the loop runs."""
+    """The HTTP session, created by the first call, when the loop is running."""
 
     def __init__(self, connect_s: float, stall_s: float):
         self.connect_s = connect_s
@@ -68,13 +67,13 @@
 
 
 def connect(
-    *, connect_s: float, stall_s: float = _STALL_S
+    *, connect_s: float, stall_s: float = _STALL_TIMEOUT_S
 ) -> interface.Targets:
-    """Makes the record of functions for targets that speak this protocol.
+    """Builds a client of targets that use this protocol.
 
     Args:
-        connect_s: Time limit to connect, in seconds.
-        stall_s: Longest time without a piece in an answer that has begun, in
+        connect_s: Timeout to connect, in seconds.
+        stall_s: Maximum time without data in an answer that has started, in
             seconds; the answer then breaks and can be resumed.
     """
     client = _Client(connect_s, stall_s)
@@ -99,17 +98,17 @@
     *,
     timeout_s: float,
 ) -> AsyncIterator[list[interface.Piece]]:
-    sending = _send(
+    request = _send(
         client,
         "POST",
         f"http://{address}/streams",
         timeout_s,
-        data=_body(_encode_open(req)),
+        data=_request_body(_encode_open(req)),
     )
-    async with sending as resp:
-        await _check(resp)
-        async for some in _follow(client, resp, req.stream, 0):
-            yield some
+    async with request as resp:
+        await _raise_for_status(resp)
+        async for batch in _read_answer(client, resp, req.stream, 0):
+            yield batch
 
 
 async def _resume(
@@ -127,22 +126,22 @@
     )
     url = f"{_stream_url(address, stream)}?{query}"
     async with _send(client, "GET", url, timeout_s) as resp:
-        await _check(resp)
-        async for some in _follow(client, resp, stream, offset):
-            yield some
+        await _raise_for_status(resp)
+        async for batch in _read_answer(client, resp, stream, offset):
+            yield batch
 
 
-async def _follow(
+async def _read_answer(
     client: _Client, resp: aiohttp.ClientResponse, stream: str, offset: int
 ) -> AsyncIterator[list[interface.Piece]]:
-    with stalls.watch(
+    with stalls.detect_stalls(
         resp.content.readany,
         resp.close,
         limit_s=client.stall_s,
-        begun=offset > 0,
+        started=offset > 0,
     ) as read:
-        async for some in pieces.follow(read, stream, offset):
-            yield some
+        async for batch in pieces.read_pieces(read, stream, offset):
+            yield batch
 
 
 async def _cancel(
@@ -155,21 +154,25 @@
     client: _Client, address: str, *, timeout_s: float
 ) -> list[interface.StreamInfo]:
     url = f"http://{address}/streams"
-    return _decode(_STREAMS, await _fetch(client, "GET", url, timeout_s))
+    return _decode(
+        _STREAMS_DECODER, await _fetch(client, "GET", url, timeout_s)
+    )
 
 
 async def _load(
     client: _Client, address: str, *, timeout_s: float
 ) -> interface.LoadReport:
     url = f"http://{address}/load"
-    return _decode(_LOAD, await _fetch(client, "GET", url, timeout_s))
+    return _decode(_LOAD_DECODER, await _fetch(client, "GET", url, timeout_s))
 
 
 async def _cache_events(
     client: _Client, address: str, after: int, *, timeout_s: float
 ) -> list[interface.CacheEvent]:
     url = f"http://{address}/events?after={after}"
-    return _decode(_EVENTS, await _fetch(client, "GET", url, timeout_s)).events
+    return _decode(
+        _EVENTS_DECODER, await _fetch(client, "GET", url, timeout_s)
+    ).events
 
 
 async def _order(
@@ -183,8 +186,8 @@
     body = msgspec.json.encode(order)
     async with _send(client, "POST", url, timeout_s, data=body) as resp:
         if resp.status == _CONFLICT:
-            raise exception.OrderRefusedError((await _error(resp)).error)
-        await _check(resp)
+            raise exception.OrderRefusedError((await _read_error(resp)).error)
+        await _raise_for_status(resp)
 
 
 async def _call(
@@ -197,7 +200,7 @@
     headers = {"X-Request-Id": call.request, "Content-Type": call.content_type}
     if call.key:
         headers["Idempotency-Key"] = call.key
-    sending = _send(
+    request = _send(
         client,
         call.method,
         f"http://{address}{call.path}",
@@ -205,7 +208,7 @@
         data=call.body,
         headers=headers,
     )
-    async with sending as resp:
+    async with request as resp:
         if resp.status == _UNAVAILABLE and resp.headers.get("X-Not-Run"):
             raise exception.TargetRefusedError()
         body = await resp.read()
@@ -223,44 +226,44 @@
 
 
 def _encode_open(req: interface.StreamOpen) -> bytes:
-    """Encodes it with the messages, which are JSON already, in place."""
+    """Encodes a request without decoding its messages, which are JSON."""
     body = {name: getattr(req, name) for name in req.__slots__}
     body["messages"] = msgspec.Raw(req.messages)
     return msgspec.json.encode(body)
 
 
-def _body(data: bytes) -> bytes | AsyncIterator[bytes]:
-    return data if len(data) <= _WHOLE_BYTES else _parts(data)
+def _request_body(data: bytes) -> bytes | AsyncIterator[bytes]:
+    return data if len(data) <= _MAX_UNCHUNKED_BYTES else _chunks(data)
 
 
-async def _parts(data: bytes) -> AsyncIterator[bytes]:
-    for at in range(0, len(data), _PART_BYTES):
-        yield data[at : at + _PART_BYTES]
+async def _chunks(data: bytes) -> AsyncIterator[bytes]:
+    for start in range(0, len(data), _CHUNK_BYTES):
+        yield data[start : start + _CHUNK_BYTES]
 
 
 def _session(client: _Client) -> aiohttp.ClientSession:
     if client.session is None:
         client.session = aiohttp.ClientSession(
-            # Requests are bounded by the decisions, so the pool does not
-            # make any wait for a free connection.
+            # The scheduler bounds the requests, so none needs to wait for a
+            # free connection.
             connector=aiohttp.TCPConnector(
                 limit=0, keepalive_timeout=_KEEP_ALIVE_S
             ),
-            middlewares=(_classify,),
+            middlewares=(_convert_errors,),
             skip_auto_headers=("User-Agent", "Accept-Encoding"),
         )
     return client.session
 
 
-async def _classify(
+async def _convert_errors(
     req: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Turns a failure to get a reply into what may be believed of it.
+    """Converts connection errors into errors that tell whether the work ran.
 
-    It stands below aiohttp's own retry of GET, PUT and DELETE on a broken
-    kept-alive connection, which acts only on aiohttp's errors: such a retry
-    would run a call twice, or report the second attempt's refused connection
-    as "not run" although the first may have run.
+    The conversion also prevents aiohttp's own retries of GET, PUT and DELETE on
+    a broken keep-alive connection, which react only to aiohttp's errors. Such a
+    retry could run a call twice, or report its own refused connection as "not
+    run" although the first attempt may have run.
     """
     try:
         return await handler(req)
@@ -270,18 +273,18 @@
     ) as error:
         raise exception.TargetUnreachableError(str(error)) from error
     except (aiohttp.ClientError, OSError) as error:
-        raise exception.StreamBrokenError(_reason(error)) from error
+        raise exception.StreamBrokenError(_describe(error)) from error
 
 
 @contextlib.asynccontextmanager
 async def _send(
     client: _Client, method: str, url: str, timeout_s: float, **options
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Sends a request and gives the response; maps all failures."""
+    """Sends a request, yields the response and converts connection errors."""
     timeout = aiohttp.ClientTimeout(
         total=timeout_s,
         connect=min(client.connect_s, timeout_s),
-        ceil_threshold=_NO_ROUNDING_S,
+        ceil_threshold=_ROUNDING_THRESHOLD_S,
     )
     try:
         async with _session(client).request(
@@ -293,22 +296,22 @@
         ) as resp:
             yield resp
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        raise exception.StreamBrokenError(_reason(error)) from error
+        raise exception.StreamBrokenError(_describe(error)) from error
 
 
 async def _fetch(
     client: _Client, method: str, url: str, timeout_s: float
 ) -> bytes:
     async with _send(client, method, url, timeout_s) as resp:
-        await _check(resp)
+        await _raise_for_status(resp)
         return await resp.read()
 
 
-async def _check(resp: aiohttp.ClientResponse) -> None:
-    """Raises unless the target took the request."""
+async def _raise_for_status(resp: aiohttp.ClientResponse) -> None:
+    """Raises the error that a reply reports, unless its status is 200."""
     if resp.status == _OK:
         return
-    body = await _error(resp)
+    body = await _read_error(resp)
     text = f"{resp.status} {body.error}"
     if resp.status == _NOT_FOUND:
         raise exception.StreamUnknownError(text)
@@ -320,17 +323,17 @@
         raise exception.TargetRefusedError(
             text, retry_after_s=body.retry_after_s
         )
-    # A conflict over a name that runs, or a reply that is not the target's
-    # own word (a proxy's, say): nothing is known of the work.
+    # The stream's name is already in use, or the reply may come from a proxy:
+    # the work may have run.
     raise exception.StreamBrokenError(text)
 
 
-async def _error(resp: aiohttp.ClientResponse) -> _ErrorBody:
+async def _read_error(resp: aiohttp.ClientResponse) -> _ErrorBody:
     body = await resp.read()
     try:
-        return _ERROR.decode(body)
+        return _ERROR_DECODER.decode(body)
     except msgspec.DecodeError:
-        return _ErrorBody(error=repr(body[:_ERROR_BYTES]))
+        return _ErrorBody(error=repr(body[:_MAX_ERROR_BYTES]))
 
 
 def _decode(decoder: msgspec.json.Decoder, body: bytes):
@@ -340,5 +343,5 @@
         raise exception.StreamBrokenError(str(error)) from error
 
 
-def _reason(error: BaseException) -> str:
+def _describe(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"
--- a/copperloom/targets/interface.py
+++ b/copperloom/targets/interface.py
@@ -1,10 +1,11 @@
-"""What engines and plain services give, as the rest of the package sees it.
-
-Targets are met through a `Targets` record of functions, made for a protocol
-by a module such as `copperloom.targets.http`. All functions take the target's
-address. They raise `TargetUnreachableError` (no connection: not run),
-`TargetRefusedError` (its own word that it was not run), `TargetFailedError`
-(ran and failed) or `StreamBrokenError` (broke off: may have run).
+"""The interface of model engines and plain services.
+
+Targets are used through a `Targets` record of functions, which a module for
+their protocol builds, such as `copperloom.targets.http`. All functions except
+`close` take the target's address. They raise `TargetUnreachableError` (no
+connection: not run), `TargetRefusedError` (the target reports that it did not
+run the work), `TargetFailedError` (ran and failed) or `StreamBrokenError`
+(interrupted: may have run).
 """
 
 import dataclasses
@@ -25,24 +26,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamOpen:
-    """Asks an engine to start a stream under a name that the entry chose.
+    """A request to an engine to start a stream.
+
+    The entry names the stream, so that it can cancel it even if the reply is
+    lost, or if the cancel arrives before the request.
 
     Attributes:
-        stream: Unique name, INSTANCE.BOOT.SEQUENCE[.PART]; a cancel with it
-            works even if the reply to this was lost, and also if it arrives
-            before this.
-        owner: INSTANCE.BOOT of the entry that answers for it.
-        organisation: Whose it is; only they may resume it.
+        stream: Unique name, INSTANCE.BOOT.SEQUENCE[.PART].
+        owner: INSTANCE.BOOT of the entry that owns the stream.
+        organisation: Organisation of the request; only it may resume the
+            stream.
         deployment: Deployment name.
         model: Model name.
-        messages: The chat messages (raw JSON).
-        prompt_tokens: The entry's estimate.
-        max_tokens: Most tokens to generate.
-        priority: Greater goes first at the engine.
+        messages: Chat messages (raw JSON).
+        prompt_tokens: Estimated tokens of the prompt.
+        max_tokens: Maximum number of tokens to generate.
+        priority: Priority at the engine; greater goes first.
         prefix: Hash of the prompt's start, for the prefix cache.
-        key: The idempotency key ("" if none), for the engine's own records.
-        hold: Only fill the KV memory and hold it for export (a part of a
-            prompt that is larger than one engine).
+        key: Idempotency key ("" if none), for the engine's own records.
+        hold: Whether to only fill the KV memory and hold it for export (a part
+            of a prompt that is larger than one engine).
         imports: KV handles of other engines' parts (ADDRESS/STREAM).
     """
 
@@ -63,15 +66,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Piece:
-    """Part of an answer.
+    """A chunk of an answer.
 
     Attributes:
-        stream: The stream's name; a piece of another stream is an error.
-        offset: Tokens before this piece.
-        text: Its text.
-        tokens: Tokens in it.
-        final: "" or why the answer ended ("stop", "length"); an answer
-            without a final piece is not whole.
+        stream: Name of the stream that the piece belongs to.
+        offset: Tokens of the answer before this piece.
+        text: Text of the piece.
+        tokens: Tokens in the piece.
+        final: Why the answer ended ("stop", "length"), or "" if more pieces
+            follow; an answer without a final piece is incomplete.
     """
 
     stream: str
@@ -83,14 +86,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamInfo:
-    """An engine's own account of one stream.
+    """A stream as its engine lists it.
 
     Attributes:
-        stream: Its name.
-        owner: INSTANCE.BOOT that answers for it.
-        kv_tokens: KV memory that it holds.
-        attached: Whether somebody reads it now.
-        idle_s: Seconds since somebody last read it.
+        stream: Name of the stream.
+        owner: INSTANCE.BOOT of the entry that owns the stream.
+        kv_tokens: KV memory that the stream occupies, in tokens.
+        attached: Whether a client is reading the stream.
+        idle_s: Seconds since a client last read the stream.
     """
 
     stream: str
@@ -102,18 +105,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's lagging report.
+    """An engine's report of its load, which may lag behind.
 
     Attributes:
-        boot: Changes when the engine restarts.
-        kv_used: KV tokens in use.
-        kv_tokens: KV tokens in all.
+        boot: Boot id; changes when the engine restarts.
+        kv_used: KV memory in use, in tokens.
+        kv_tokens: KV memory in total, in tokens.
         running: Streams in the batch.
-        waiting: Streams waiting at the engine.
-        prefill_tokens: Prompt tokens that still wait for prefill.
-        age_s: How old the figures are.
-        leaving: The target's own word that it takes no new work.
-        models: Models loaded.
+        waiting: Streams in the engine's queue.
+        prefill_tokens: Prompt tokens that are waiting for prefill.
+        age_s: Age of the figures, in seconds.
+        leaving: Whether the target is draining and takes no new work.
+        models: Names of the loaded models.
     """
 
     boot: str
@@ -129,10 +132,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix was stored in an engine's cache or removed from it.
+    """A change of an engine's prefix cache.
 
     Attributes:
-        sequence: Grows by one an event; a gap means that events were lost.
+        sequence: Sequence number; a gap means that events were lost.
         prefix: Hash of the prefix.
         stored: True if stored, False if removed.
     """
@@ -144,12 +147,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """An order to an engine.
+    """A management order to an engine.
 
     Attributes:
         kind: "load_model", "load_adapter", "set_version" or "set_role".
-        value: What to load or set.
-        fencing: The fencing number of whoever gives it.
+        value: Name of what to load, or the value to set.
+        fencing: Fencing number of the sender.
     """
 
     kind: str
@@ -165,9 +168,9 @@
         method: HTTP method.
         path: Path and query.
         body: Raw body.
-        content_type: Of the body.
-        request: Request id, passed on as a header.
-        key: Idempotency key ("" if none), passed on as a header.
+        content_type: Content type of the body.
+        request: Request id, sent as a header.
+        key: Idempotency key ("" if none), sent as a header.
     """
 
     method: str
@@ -180,7 +183,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """A plain service's whole reply."""
+    """A complete reply of a plain service."""
 
     status: int
     body: bytes
@@ -189,17 +192,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Targets:
-    """Engines and services of one protocol as a record of functions.
+    """The functions of a client of engines and services of one protocol.
 
     Attributes:
         open: (address, StreamOpen, *, timeout_s) -> async iterator of lists of
-            Piece; the first list comes with the first token.
+            Piece; the first list arrives with the first token.
         resume: (address, stream, offset, owner, organisation, *, timeout_s) ->
-            the same from an offset on; owner takes the stream over. Raises
-            StreamUnknownError.
+            the same from an offset on; owner becomes the stream's owner.
+            Raises StreamUnknownError.
         cancel: (address, stream, *, timeout_s) -> None; returns once the
-            engine confirmed that the stream's memory is free and that a late
-            start under this name will be refused.
+            engine has confirmed that the stream's memory is free and that a
+            late start under this name will be refused.
         streams: (address, *, timeout_s) -> list of StreamInfo.
         load: (address, *, timeout_s) -> LoadReport.
         cache_events: (address, after, *, timeout_s) -> list of CacheEvent.
--- a/copperloom/targets/pieces.py
+++ b/copperloom/targets/pieces.py
@@ -1,4 +1,4 @@
-"""Checks that the pieces of an answer follow each other."""
+"""Decodes the pieces of an answer and checks their order."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
@@ -7,66 +7,69 @@
 from copperloom import exception
 from copperloom.targets import interface
 
-__all__ = ["follow"]
+__all__ = ["read_pieces"]
 
-_PIECES = msgspec.json.Decoder(interface.Piece)
+_DECODER = msgspec.json.Decoder(interface.Piece)
 
 
-async def follow(
+async def read_pieces(
     read: Callable[[], Awaitable[bytes]], stream: str, offset: int
 ) -> AsyncIterator[list[interface.Piece]]:
-    """Yields what each read brought, all lines of it decoded in one call.
+    """Yields the pieces of each read.
 
-    A list of pieces costs one wake and one decoding, however many tokens came
-    together; at thousands of tokens a second these are most of an entry's
-    processor time.
+    All pieces of a read are decoded in one call, since the cost of a call
+    hardly depends on their number.
 
     Args:
-        read: Returns bytes as soon as there are any; none at the end.
-        stream: The stream that all pieces must name.
-        offset: Tokens that the reader has.
+        read: Returns bytes as soon as there are any, and b"" at the end.
+        stream: Name of the stream that all pieces must belong to.
+        offset: Tokens of the answer received before.
+
+    Yields:
+        Lists of pieces, up to the final piece.
 
     Raises:
-        copperloom.exception.StreamBrokenError: A piece does not follow, or
-            the answer ends without a final piece.
+        copperloom.exception.StreamBrokenError: A piece is missing, repeated or
+            from another stream, or the answer ends without a final piece.
     """
-    rest = b""
+    partial_line = b""
     final = ""
     while not final:
         data = await read()
         if not data:
-            raise exception.StreamBrokenError("no final piece")
-        data = rest + data
+            raise exception.StreamBrokenError(
+                "the engine ended the answer without its final piece"
+            )
+        data = partial_line + data
         end = data.rfind(b"\n") + 1
-        rest = data[end:]
+        partial_line = data[end:]
         if not end:
             continue
         pieces = _decode_lines(data[:end])
         for piece in pieces:
-            offset = _follow(piece, stream, offset, final)
+            offset = _check_piece(piece, stream, offset, final)
             final = piece.final
         yield pieces
 
 
 def _decode_lines(data: bytes) -> list[interface.Piece]:
     try:
-        return _PIECES.decode_lines(data)
+        return _DECODER.decode_lines(data)
     except msgspec.DecodeError as error:
         raise exception.StreamBrokenError(str(error)) from error
 
 
-def _follow(
+def _check_piece(
     piece: interface.Piece, stream: str, offset: int, final: str
 ) -> int:
-    """Returns the offset after a piece, or raises if it does not follow.
+    """Returns the offset after a piece, or raises if the piece is unexpected.
 
-    Late pieces of an earlier attempt, or of another stream on a connection
-    that was used again after a cut, would otherwise give a caller a mixed
-    answer that looks whole.
+    A late piece of an earlier attempt or of another stream could otherwise end
+    up in an answer that appears to be complete.
     """
     if piece.stream != stream or piece.offset != offset or final:
         raise exception.StreamBrokenError(
-            f"piece {piece.stream} {piece.offset} does not follow"
-            f" {stream} {offset}"
+            f"got a piece of stream {piece.stream} at token {piece.offset}"
+            f" instead of stream {stream} at token {offset}"
         )
     return offset + piece.tokens
--- a/copperloom/targets/stalls.py
+++ b/copperloom/targets/stalls.py
@@ -1,68 +1,73 @@
-"""Ends an answer that stands still although its connection does not break.
+"""Detects answers that stall although their connection stays open.
 
-A connection whose other end is gone without a word (half-open) brings neither
-bytes nor an end. Without this the caller would wait until its time limit,
-while the engine still has the answer and another connection would bring it.
+A half-open connection delivers neither data nor an error. Without a timeout the
+caller would wait until its time limit, although the engine still holds the
+answer and it could be resumed over another connection.
 """
 
 import asyncio
 import contextlib
 from collections.abc import Awaitable, Callable, Iterator
 
-__all__ = ["watch"]
+__all__ = ["detect_stalls"]
 
-_LOOKS = 4
+_CHECKS_PER_LIMIT = 4
 
 
-class _Wait:
-    """Since when a read waits, and whether the answer has begun."""
+class _ReadState:
+    """The state of the current read.
 
-    def __init__(self, begun: bool):
-        self.since = float("inf")
-        self.begun = begun
+    Attributes:
+        waiting_since: Monotonic time at which the current read started, in
+            seconds; infinite between reads.
+        started: Whether the answer has started.
+        timer: Timer of the next check.
+    """
+
+    def __init__(self, started: bool):
+        self.waiting_since = float("inf")
+        self.started = started
         self.timer: asyncio.TimerHandle | None = None
 
 
 @contextlib.contextmanager
-def watch(
+def detect_stalls(
     read: Callable[[], Awaitable[bytes]],
     stop: Callable[[], None],
     *,
     limit_s: float,
-    begun: bool,
+    started: bool,
 ) -> Iterator[Callable[[], Awaitable[bytes]]]:
-    """Gives a read function in place of `read`.
+    """Yields a read function that replaces `read` and detects stalls.
 
-    One timer looks a few times within the limit, instead of one that is set
-    and cleared at each of thousands of reads a second. The time that the
-    reader takes between two reads does not count.
+    A periodic check costs less than a timer for each read. The time between
+    two reads does not count.
 
     Args:
         read: Returns bytes as soon as there are any.
-        stop: Called when a read waits for too long; must make it end.
-        limit_s: Longest wait, in seconds.
-        begun: Whether the answer has begun before; if not, the first read may
-            wait without a limit, since a prompt may be queued and prefilled
-            for minutes.
+        stop: Called when a read has stalled; must make it end.
+        limit_s: Maximum duration of a read, in seconds.
+        started: Whether the answer has already started. If not, the first read
+            has no limit, since queueing and prefill may take minutes.
     """
     loop = asyncio.get_running_loop()
-    wait = _Wait(begun)
+    state = _ReadState(started)
 
-    async def watched() -> bytes:
-        wait.since = loop.time()
+    async def timed_read() -> bytes:
+        state.waiting_since = loop.time()
         data = await read()
-        wait.since = float("inf")
-        wait.begun = True
+        state.waiting_since = float("inf")
+        state.started = True
         return data
 
-    def look() -> None:
-        if wait.begun and loop.time() - wait.since >= limit_s:
+    def check() -> None:
+        if state.started and loop.time() - state.waiting_since >= limit_s:
             stop()
             return
-        wait.timer = loop.call_later(limit_s / _LOOKS, look)
+        state.timer = loop.call_later(limit_s / _CHECKS_PER_LIMIT, check)
 
-    look()
+    check()
     try:
-        yield watched
+        yield timed_read
     finally:
-        wait.timer.cancel()
+        state.timer.cancel()
--- a/copperloom/targets/tests/test_http.py
+++ b/copperloom/targets/tests/test_http.py
@@ -1,4 +1,4 @@
-"""What may be believed of a call that failed, behind a faulty network."""
+"""Tests of how failed calls are reported, also behind a faulty network."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
     return targets.open(address, req, timeout_s=timeout_s)
 
 
-async def _behind_proxy(case, **changes):
+async def _start_behind_proxy(case, **changes):
     engine = await fixtures.start_engine(case, **changes)
     proxy = await fixtures.start_proxy(case, engine.addresses["listen"])
     targets = await fixtures.connect_targets(case)
@@ -24,27 +24,27 @@
 
 
 class OpenTest(unittest.IsolatedAsyncioTestCase):
-    """Streams whose answer comes, breaks or never comes."""
+    """Streams whose answer arrives, breaks or never arrives."""
 
-    async def test_whole_answer(self):
+    async def test_answer_is_complete(self):
         engine = await fixtures.start_engine(self)
         targets = await fixtures.connect_targets(self)
         req = fixtures.ask("s1")
         text = await fixtures.read_all(
             targets.open(engine.addresses["listen"], req, timeout_s=_LIMIT_S)
         )
-        whole = answers.whole("org", "chat", req.messages, 20)
-        self.assertEqual(text, whole)
+        expected = answers.whole("org", "chat", req.messages, 20)
+        self.assertEqual(text, expected)
 
-    async def test_large_prompt_is_sent_whole(self):
+    async def test_large_prompt_is_sent_completely(self):
         engine = await fixtures.start_engine(self)
         targets = await fixtures.connect_targets(self)
         messages = b'["' + b"x" * (3 << 20) + b'"]'
         text = await fixtures.read_all(
             _open(targets, engine.addresses["listen"], messages=messages)
         )
-        whole = answers.whole("org", "chat", messages, 20)
-        self.assertEqual(text, whole)
+        expected = answers.whole("org", "chat", messages, 20)
+        self.assertEqual(text, expected)
 
     async def test_refused_connection_is_not_run(self):
         engine = await fixtures.start_engine(self)
@@ -53,7 +53,7 @@
         with self.assertRaises(exception.TargetUnreachableError):
             await fixtures.read_all(_open(targets, engine.addresses["listen"]))
 
-    async def test_own_refusal_is_not_run(self):
+    async def test_refusal_is_not_run(self):
         engine = await fixtures.start_engine(self)
         targets = await fixtures.connect_targets(self)
         address = engine.addresses["listen"]
@@ -62,7 +62,7 @@
             await fixtures.read_all(_open(targets, address))
         self.assertEqual(engine.truth()["runs"], [])
 
-    async def test_failure_ran(self):
+    async def test_failed_work_has_run(self):
         engine = await fixtures.start_engine(self)
         targets = await fixtures.connect_targets(self)
         await control.control(engine.addresses["listen"], fail_next=1)
@@ -70,9 +70,11 @@
             await fixtures.read_all(_open(targets, engine.addresses["listen"]))
         self.assertEqual(engine.truth()["kv_used"], 0)
 
-    async def test_name_that_runs_may_have_run(self):
-        # A second open under one name meets the first one running. The 409
-        # must not be taken for "not run", which would free it to run again.
+    async def test_conflicting_name_may_have_run(self):
+        """A conflict over a stream's name must not be reported as "not run".
+
+        The work could otherwise run twice.
+        """
         engine = await fixtures.start_engine(self, time_scale=1.0)
         targets = await fixtures.connect_targets(self)
         first = _open(targets, engine.addresses["listen"])
@@ -89,28 +91,32 @@
             await fixtures.read_all(_open(targets, engine.addresses["listen"]))
         self.assertEqual(len(engine.truth()["runs"]), 1)
 
-    async def test_reset_before_the_request_came(self):
-        # The proxy takes the connection and resets it at the first byte. The
-        # engine saw nothing, but this side cannot know: may have run.
-        engine, proxy, targets = await _behind_proxy(self)
+    async def test_reset_before_the_request_may_have_run(self):
+        """A reset connection must be reported as "may have run".
+
+        The client cannot know whether the engine received the request.
+        """
+        engine, proxy, targets = await _start_behind_proxy(self)
         await control.control(proxy.addresses["listen"], cut_up_after=0)
         with self.assertRaises(exception.StreamBrokenError) as caught:
             await fixtures.read_all(_open(targets, proxy.addresses["p"]))
         self.assertEqual(caught.exception.run, exception.Run.MAY_HAVE_RUN)
         self.assertEqual(engine.truth()["arrivals"], [])
 
-    async def test_cut_in_the_answer_and_resume(self):
-        # The connection is reset after some tokens. The caller's side learns
-        # that the answer is not whole, and reads the rest from its offset on.
-        engine, proxy, targets = await _behind_proxy(self)
+    async def test_reset_answer_breaks_and_is_resumed(self):
+        """A reset in the middle of an answer must be reported.
+
+        Resuming the stream must then return exactly the missing tokens.
+        """
+        engine, proxy, targets = await _start_behind_proxy(self)
         await control.control(proxy.addresses["listen"], cut_down_after=700)
-        got = []
+        received = []
         with self.assertRaises(exception.StreamBrokenError):
             async for pieces in _open(
                 targets, proxy.addresses["p"], max_tokens=300
             ):
-                got.extend(pieces)
-        offset = sum(piece.tokens for piece in got)
+                received.extend(pieces)
+        offset = sum(piece.tokens for piece in received)
         rest = await fixtures.read_all(
             targets.resume(
                 engine.addresses["listen"],
@@ -123,14 +129,13 @@
         )
         messages = fixtures.ask("s1").messages
         self.assertEqual(
-            "".join(piece.text for piece in got) + rest,
+            "".join(piece.text for piece in received) + rest,
             answers.whole("org", "chat", messages, 300),
         )
 
-    async def test_half_open_ends_in_time(self):
-        # Everything towards the caller is swallowed and no end is told. The
-        # time limit is what ends it, and says that it may have run.
-        engine, proxy, targets = await _behind_proxy(self)
+    async def test_half_open_connection_ends_at_the_time_limit(self):
+        """A half-open connection must not hang beyond the time limit."""
+        engine, proxy, targets = await _start_behind_proxy(self)
         await control.control(
             proxy.addresses["listen"], drop_down=True, half_open=True
         )
@@ -144,12 +149,13 @@
         self.assertEqual(len(engine.truth()["runs"]), 1)
 
     async def test_stalled_answer_breaks_and_is_resumed(self):
-        # In the midst of an answer the network swallows all bytes towards
-        # this side and tells no end. The answer breaks long before the time
-        # limit, and another connection brings the rest.
-        engine, proxy, _ = await _behind_proxy(self, time_scale=10.0)
+        """A connection that becomes half-open must break before the time limit.
+
+        The stream must be resumable over another connection.
+        """
+        engine, proxy, _ = await _start_behind_proxy(self, time_scale=10.0)
         targets = await fixtures.connect_targets(self, stall_s=0.4)
-        got = []
+        received = []
         with self.assertRaises(exception.StreamBrokenError):
             async with asyncio.timeout(_LIMIT_S):
                 async for pieces in _open(
@@ -158,26 +164,25 @@
                     max_tokens=300,
                     timeout_s=60.0,
                 ):
-                    got.extend(pieces)
+                    received.extend(pieces)
                     await control.control(
                         proxy.addresses["listen"], drop_down=True
                     )
         rest = targets.resume(
             engine.addresses["listen"],
             "s1",
-            sum(piece.tokens for piece in got),
+            sum(piece.tokens for piece in received),
             "e2.b2",
             "org",
             timeout_s=_LIMIT_S,
         )
-        text = "".join(piece.text for piece in got)
+        text = "".join(piece.text for piece in received)
         text += await fixtures.read_all(rest)
         messages = fixtures.ask("s1").messages
         self.assertEqual(text, answers.whole("org", "chat", messages, 300))
 
-    async def test_slow_start_and_slow_reader_are_no_stall(self):
-        # The first token takes longer than a stall may, then the caller
-        # reads more slowly than that.
+    async def test_slow_start_and_slow_reader_do_not_stall(self):
+        """A late first token or a slow reader must not count as a stall."""
         engine = await fixtures.start_engine(self, time_scale=1.0)
         targets = await fixtures.connect_targets(self, stall_s=0.5)
         text = ""
@@ -192,7 +197,7 @@
         messages = fixtures.ask("s1").messages
         self.assertEqual(text, answers.whole("org", "chat", messages, 3))
 
-    async def test_another_organisations_stream(self):
+    async def test_stream_of_another_organisation_is_refused(self):
         engine = await fixtures.start_engine(self)
         targets = await fixtures.connect_targets(self)
         address = engine.addresses["listen"]
@@ -210,11 +215,9 @@
 
 
 class PiecesTest(unittest.IsolatedAsyncioTestCase):
-    """Pieces that do not follow each other are never passed on as an answer.
+    """Answers with wrong pieces, as a faulty target may send them.
 
-    A plain server writes what a confused target or a connection used again
-    after a cut could bring: a late piece of another stream, a gap, an answer
-    cut short that ends in an orderly way.
+    They must not be passed on as complete answers.
     """
 
     async def _read(self, *pieces: interface.Piece) -> str:
@@ -223,13 +226,13 @@
         targets = await fixtures.connect_targets(self)
         return await fixtures.read_all(_open(targets, address))
 
-    async def test_wrong_pieces(self):
+    async def test_wrong_pieces_break_the_answer(self):
         first = interface.Piece("s1", 0, "a")
         cases = {
             "other stream": [first, interface.Piece("s0", 1, "b", 1, "stop")],
             "gap": [first, interface.Piece("s1", 2, "b", 1, "stop")],
-            "again": [first, first],
-            "cut short": [first],
+            "repeated": [first, first],
+            "truncated": [first],
             "after the end": [
                 interface.Piece("s1", 0, "a", 1, "stop"),
                 interface.Piece("s1", 1, "b", 1, "stop"),
@@ -244,7 +247,7 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """Calls of plain services."""
+    """Calls to plain services."""
 
     async def _call(self, targets, address, method="POST", key="k"):
         call = interface.ServiceCall(
@@ -252,7 +255,7 @@
         )
         return await targets.call(address, call, timeout_s=_LIMIT_S)
 
-    async def test_runs_once_and_refuses(self):
+    async def test_call_runs_once_and_refusal_is_reported(self):
         service = await fixtures.start_service(self)
         targets = await fixtures.connect_targets(self)
         address = service.addresses["listen"]
@@ -262,10 +265,11 @@
             await self._call(targets, address)
         self.assertEqual(service.truth()["runs_by_key"], {"k": 1})
 
-    async def test_stale_connection_is_not_used_again_by_itself(self):
-        # A first call leaves a kept-alive connection. The second call runs,
-        # and the service drops the connection before it answers. aiohttp
-        # would send a PUT again by itself, and so run it twice.
+    async def test_call_on_a_broken_connection_is_not_retried(self):
+        """A call on a broken keep-alive connection must not run twice.
+
+        aiohttp by itself would send a PUT again.
+        """
         service = await fixtures.start_service(self)
         targets = await fixtures.connect_targets(self)
         address = service.addresses["listen"]
@@ -275,16 +279,17 @@
             await self._call(targets, address, "PUT")
         self.assertEqual(service.truth()["runs_by_key"]["k"], 1)
 
-    async def test_stale_connection_then_refused_connection(self):
-        # The service takes the second call on the kept-alive connection, dies
-        # and listens no more. Sent again by itself, the call would meet a
-        # refused connection and be reported as "not run".
-        taken = []
+    async def test_broken_connection_of_a_stopped_service_may_have_run(self):
+        """A call that the service received must not be reported as "not run".
+
+        A retry by aiohttp would find that the service no longer listens.
+        """
+        requests = []
 
         async def handle(reader, writer):
             while head := await reader.readuntil(b"\r\n\r\n"):
-                taken.append(head)
-                if len(taken) == 2:
+                requests.append(head)
+                if len(requests) == 2:
                     break
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 await reader.readexactly(len(b"{}"))
@@ -297,4 +302,4 @@
         await self._call(targets, address, "PUT")
         with self.assertRaises(exception.StreamBrokenError):
             await self._call(targets, address, "PUT")
-        self.assertEqual(len(taken), 2)
+        self.assertEqual(len(requests), 2)
