--- a/copperloom/cli/losses.py
+++ b/copperloom/cli/losses.py
@@ -92,7 +92,7 @@
     ]
     rows += [
         f"{taken:7.4f}  price: {name}"
-        for name, taken in sorted(told.prices.items(), key=lambda p: -p[1])
+        for name, taken in sorted(told.deductions.items(), key=lambda p: -p[1])
     ]
     rows.append(f"{1.0 - told.worth:7.4f}  missing to 1")
     return "\n".join(rows)
--- a/copperloom/platform/__init__.py
+++ b/copperloom/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's table service, object store and instance list."""
+"""Clients of the platform's services and codecs of its formats."""
--- a/copperloom/platform/catalog.py
+++ b/copperloom/platform/catalog.py
@@ -1,7 +1,7 @@
-"""Which tables and rows the platform keeps for this system, and their sense.
+"""The tables that the platform's table service keeps for this system.
 
-Targets register in one table, operators write one row of another, and members
-of this system find each other in a third one, which is the system's own.
+Targets register in one table, operators write the routing document to one row
+of another, and the instances of this system find each other in a third one.
 """
 
 import dataclasses
@@ -28,16 +28,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberRow:
-    """How a member of this system can be reached.
+    """The registration of an instance of this system.
 
     Attributes:
-        instance: Its name.
-        boot: The run of its process.
-        datagrams: IP:port for datagrams of its peers.
-        calls: IP:port for calls of its peers, "" if it takes none.
-        data_centre: Where it stands, "" if it has not said so.
-        cores: Its share of processor time, in cores.
-        fleet: Instances that it knew of when it wrote this, itself included.
+        instance: Name of the instance.
+        boot: Id of this run of its process.
+        datagrams: IP:port for datagrams from peers.
+        calls: IP:port for calls from peers; "" if it accepts none.
+        data_centre: Data centre of the instance; "" if not given.
+        cores: Processor time available to the instance, in cores.
+        fleet: Number of instances known when the row was written, including
+            the instance itself.
     """
 
     instance: str
@@ -50,7 +51,7 @@
 
 
 def routes_row(feed: store.Feed) -> store.StoredRow | None:
-    """Returns the operators' row if it is among the rows."""
+    """Returns the row of the routing document, or None if absent."""
     found = None
     for row in feed.rows:
         if row.key == _ROUTES_KEY and row.value is not None:
@@ -59,12 +60,12 @@
 
 
 def encode_member(row: MemberRow) -> bytes:
-    """Makes the bytes of a member's row."""
+    """Returns the encoded row of a member."""
     return msgspec.json.encode(row)
 
 
 def decode_member(raw: bytes | None) -> MemberRow | None:
-    """Reads a member's row; None if it can't be read."""
+    """Returns a member's decoded row, or None if it is malformed."""
     if raw is None:
         return None
     try:
--- a/copperloom/platform/decoding.py
+++ b/copperloom/platform/decoding.py
@@ -1,9 +1,9 @@
 """Decodes the platform's rows into the types of `copperloom.routing`.
 
-Other writers may spoil a row: fields missing or of another type, unknown
-words, bytes that are no JSON. Such a row gives None here and a log line at
-the caller; it must never raise into a controller or name a target, because
-requests would then go to an address that nobody vouched for.
+Rows are written by other programs and may be malformed: missing fields, wrong
+types, unknown values, invalid JSON. A malformed row decodes to None, and the
+caller logs it. It must neither raise an exception in a controller nor yield a
+target, because requests would then be sent to an unverified address.
 """
 
 import math
@@ -18,7 +18,7 @@
 _DEFAULT_BODY_BYTES = 4 * 1024 * 1024
 _MS = 1000.0
 _MILLION = 1_000_000.0
-# The kinds of routes on the wire, and what they mean to us.
+# Route kinds by their name in the document.
 _KINDS = {
     "idempotent": routing.RouteKind.IDEMPOTENT,
     "non_idempotent": routing.RouteKind.NON_IDEMPOTENT,
@@ -59,14 +59,14 @@
     stride: int = 1
     step_ms: float = 1.0
     per_seq_ms: float = 0.0
-    # Milliseconds for each 1,000 tokens of context.
+    # Milliseconds per 1,000 tokens of context.
     context_per_k: float = 0.0
     read_per_s: float = 0.0
-    # Milliseconds for each million pairs.
+    # Milliseconds per million pairs of tokens.
     pairs_per_m: float = 0.0
     chunk: int = 2048
     hop_ms: float = 0.0
-    # One way between each two data centres.
+    # One-way delay between each pair of data centres.
     delays: list[_Delay] = []
 
 
@@ -108,7 +108,7 @@
 
 
 def decode_table(raw: bytes) -> routing.RoutingTable | None:
-    """Decodes the operators' document; None if it can't be read."""
+    """Returns the decoded routing document, or None if it is malformed."""
     try:
         doc = _TABLE.decode(raw)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -116,13 +116,13 @@
     if doc.version <= 0:
         return None
     routes = [r for r in (_route(r) for r in doc.routes) if r is not None]
-    holders = None if doc.tenants is None else _holders(doc.tenants)
+    key_holders = None if doc.tenants is None else _key_holders(doc.tenants)
     limits = routing.RequestLimits(
         max_body_bytes=doc.limits.max_body_bytes,
         idle_timeout_s=doc.limits.idle_timeout_ms / _MS,
     )
     services = [_service(s) for s in doc.services]
-    return routing.build(doc.version, routes, services, holders, limits)
+    return routing.build(doc.version, routes, services, key_holders, limits)
 
 
 def _route(raw: _Route) -> routing.Route | None:
@@ -136,7 +136,7 @@
         backends = [routing.Backend(raw.service, 1.0)]
     if not backends:
         return None
-    pause_ms = raw.gap_aim_ms if raw.gap_aim_ms else raw.target_latency_ms
+    gap_ms = raw.gap_aim_ms if raw.gap_aim_ms else raw.target_latency_ms
     return routing.Route(
         name=raw.name,
         host=raw.host.lower(),
@@ -149,33 +149,33 @@
         max_attempts=max(1, raw.max_attempts),
         public=raw.public,
         resumable=raw.resumable and kind is routing.RouteKind.STREAM,
-        pause_aim_s=pause_ms / _MS,
+        pause_aim_s=gap_ms / _MS,
     )
 
 
 def _service(raw: _Service) -> routing.ServiceSpec:
-    own = raw.engine
-    if own is None or own.read_per_s <= 0 or own.kv_tokens <= 0:
+    spec = raw.engine
+    if spec is None or spec.read_per_s <= 0 or spec.kv_tokens <= 0:
         return routing.ServiceSpec(raw.name)
     engine = routing.EngineSpec(
-        slots=max(1, own.slots),
-        kv_tokens=own.kv_tokens,
-        stride=max(1, own.stride),
-        step_s=own.step_ms / _MS,
-        per_sequence_s=own.per_seq_ms / _MS,
-        context_s=own.context_per_k / _MS / 1000.0,
-        prefill_tokens_per_s=own.read_per_s,
-        pair_s=own.pairs_per_m / _MS / _MILLION,
-        chunk_tokens=max(1, own.chunk),
-        hop_s=own.hop_ms / _MS,
+        slots=max(1, spec.slots),
+        kv_tokens=spec.kv_tokens,
+        stride=max(1, spec.stride),
+        step_s=spec.step_ms / _MS,
+        per_sequence_s=spec.per_seq_ms / _MS,
+        context_s=spec.context_per_k / _MS / 1000.0,
+        prefill_tokens_per_s=spec.read_per_s,
+        pair_s=spec.pairs_per_m / _MS / _MILLION,
+        chunk_tokens=max(1, spec.chunk),
+        hop_s=spec.hop_ms / _MS,
         most_delay_s=max(
-            (d.delay_ms / _MS for d in own.delays), default=math.inf
+            (d.delay_ms / _MS for d in spec.delays), default=math.inf
         ),
     )
     return routing.ServiceSpec(raw.name, engine)
 
 
-def _holders(tenants: list[_Tenant]) -> dict[str, routing.KeyHolder]:
+def _key_holders(tenants: list[_Tenant]) -> dict[str, routing.KeyHolder]:
     return {
         key: routing.KeyHolder(tenant.name, tenant.priority)
         for tenant in tenants
@@ -184,7 +184,7 @@
 
 
 def decode_target(name: str, raw: bytes | None) -> routing.TargetEntry | None:
-    """Decodes a target's registration; None if it names no usable target."""
+    """Returns a target's decoded registration, or None if it is unusable."""
     if raw is None:
         return None
     try:
@@ -207,7 +207,7 @@
 
 
 def _is_address(text: str) -> bool:
-    """Tells whether a text is IPv4:port and nothing else."""
+    """Returns whether the text has the form IPv4:port."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     if len(parts) != 4 or not port.isascii() or not port.isdecimal():
--- a/copperloom/platform/headers.py
+++ b/copperloom/platform/headers.py
@@ -1,7 +1,8 @@
-"""The platform's request and answer headers, met in this module alone.
+"""The platform's request and response headers.
 
-`read_head` turns a caller's headers into a typed head; `for_target` makes the
-headers that go to a target; `read_reply` says what a target's headers tell.
+No other module knows their names and formats. `read_head` parses the headers
+of a caller, `for_target` builds the headers of a request to a target, and
+`read_reply` parses the headers of a target's response.
 """
 
 import dataclasses
@@ -22,13 +23,13 @@
 
 _REQUEST_ID = "Copperloom-Request-Id"
 _DEADLINE = "Copperloom-Request-Deadline"
-_KEY = "Copperloom-Key"
+_API_KEY = "Copperloom-Key"
 _TENANT = "Copperloom-Tenant"
 _EXPECT_INSTANCE = "Copperloom-Expect-Instance"
 _HELPERS = "Copperloom-Helpers"
 _PRIORITY = "Copperloom-Request-Priority"
-_TOKENS = "Copperloom-Token-Counts"
-_HINT = "Copperloom-Length-Hint"
+_TOKEN_COUNTS = "Copperloom-Token-Counts"
+_LENGTH_HINT = "Copperloom-Length-Hint"
 _SEAL = "Copperloom-Response-Seal"
 _NOT_EXECUTED = "Copperloom-Not-Executed"
 _LOAD = "Copperloom-Instance-Load"
@@ -51,12 +52,12 @@
         "upgrade",
     ]
 )
-# Set by this side only. A caller that could send them would choose its own
-# organisation, or be refused by the target that it was placed at.
-_OURS = frozenset(
+# Set by this system only. A caller that sent them could impersonate an
+# organisation, or make the target refuse its request.
+_RESERVED = frozenset(
     h.lower()
     for h in (
-        _KEY,
+        _API_KEY,
         _TENANT,
         _EXPECT_INSTANCE,
         _HELPERS,
@@ -70,16 +71,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a caller's headers say.
+    """The parsed headers of a caller's request.
 
     Attributes:
-        id: Its name for this request; "" if it gave none.
-        time_left_s: How long it waits; None if it did not say.
-        key: API key, "" if none.
-        prompt_tokens: Tokens of the prompt, 0 if not stated.
-        max_tokens: Most tokens of the answer.
-        length_hint: Its guess of the answer's tokens, 0 if none.
-        last_event_id: Where a resumed stream goes on, "" from the start.
+        id: Request id given by the caller; "" if none.
+        time_left_s: Time until the caller's deadline, in seconds; None if not
+            given.
+        key: API key; "" if none.
+        prompt_tokens: Tokens of the prompt; 0 if not given.
+        max_tokens: Maximum tokens of the answer; 0 if not given.
+        length_hint: The caller's estimate of the answer's tokens; 0 if none.
+        last_event_id: Id of the event after which a stream resumes; "" for
+            its start.
     """
 
     id: str
@@ -93,15 +96,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetHeaders:
-    """What this side tells a target besides the caller's own headers.
+    """The headers that are added to the caller's for a target.
 
     Attributes:
-        target: Name of the target that is meant.
-        organisation: Name of the key's holder; "" on public routes.
-        time_left_s: How long the caller still waits.
-        priority: 0 to 9, 0 goes first; None sends none.
-        helpers: Targets that read parts of the prompt: IP:port[/TICKET].
-        last_event_id: Where the stream goes on, "" from the start.
+        target: Name of the target that the request is meant for.
+        organisation: Organisation that holds the API key; "" on public
+            routes.
+        time_left_s: Time until the caller's deadline, in seconds.
+        priority: 0 (first) to 9; None omits the header.
+        helpers: Helper engines that prefill parts of the prompt, as
+            IP:port[/TICKET].
+        last_event_id: Id of the event after which the stream resumes; "" for
+            its start.
     """
 
     target: str
@@ -114,17 +120,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyFacts:
-    """What a target's headers say of its answer.
+    """The parsed headers of a target's response.
 
     Attributes:
-        request: The request that the answer belongs to, "" if not said.
-        sealed: Whether the answer bears the target's signature.
-        not_run: Whether the target says that it did not run the request.
-        running: Requests it works on; None if it does not tell its load.
-        waiting: Requests that wait there.
-        retry_after_s: When it wants to be asked again, None if not said.
-        at_fault: The helper that made a request in parts fail, "" if none.
-        encoded: Whether the body is not as the target made it.
+        request: Id of the request that the response belongs to; "" if not
+            given.
+        sealed: Whether the response carries the target's signature.
+        not_run: Whether the target reports that it did not run the request.
+        running: Requests in progress at the target; None if it does not
+            report its load.
+        waiting: Requests queued at the target.
+        retry_after_s: Time to wait before a retry, in seconds; None if not
+            given.
+        at_fault: Helper engine that caused the failure of a split request;
+            "" if none.
+        encoded: Whether the body has a content encoding.
     """
 
     request: str
@@ -138,60 +148,60 @@
 
 
 def read_head(headers: Mapping[str, str]) -> RequestHead:
-    """Reads a caller's headers; what can't be read counts as not given."""
-    prompt, _, answer = headers.get(_TOKENS, "").partition(",")
-    left_ms = _number(headers.get(_DEADLINE))
+    """Parses a caller's headers; malformed values count as not given."""
+    prompt, _, answer = headers.get(_TOKEN_COUNTS, "").partition(",")
+    time_left_ms = _parse_number(headers.get(_DEADLINE))
     return RequestHead(
         id=headers.get(_REQUEST_ID, ""),
-        time_left_s=None if left_ms is None else left_ms / _MS,
-        key=headers.get(_KEY, ""),
-        prompt_tokens=int(_number(prompt) or 0),
-        max_tokens=int(_number(answer) or 0),
-        length_hint=int(_number(headers.get(_HINT)) or 0),
+        time_left_s=None if time_left_ms is None else time_left_ms / _MS,
+        key=headers.get(_API_KEY, ""),
+        prompt_tokens=int(_parse_number(prompt) or 0),
+        max_tokens=int(_parse_number(answer) or 0),
+        length_hint=int(_parse_number(headers.get(_LENGTH_HINT)) or 0),
         last_event_id=headers.get(_LAST_EVENT_ID, ""),
     )
 
 
 def for_target(
-    given: Iterable[tuple[str, str]], own: TargetHeaders
+    given: Iterable[tuple[str, str]], added: TargetHeaders
 ) -> multidict.CIMultiDict[str]:
-    """Makes the headers of a request to a target.
+    """Builds the headers of a request to a target.
 
     Args:
         given: The caller's headers.
-        own: What this side sets.
+        added: The headers that this system sets.
 
     Returns:
-        The caller's headers without those of one connection and without
-        those that only this side may set, and then this side's.
+        The caller's headers except hop-by-hop and reserved ones, followed by
+        the headers that this system sets.
     """
     given = list(given)
-    dropped = _HOP_BY_HOP | _OURS | _named_by_connection(given)
+    dropped = _HOP_BY_HOP | _RESERVED | _named_by_connection(given)
     out = multidict.CIMultiDict(
         (k, v) for k, v in given if k.lower() not in dropped
     )
-    out[_DEADLINE] = str(max(1, int(own.time_left_s * _MS)))
-    out[_EXPECT_INSTANCE] = own.target
-    if own.organisation:
-        out[_TENANT] = own.organisation
-    if own.priority is not None:
-        out[_PRIORITY] = str(own.priority)
-    if own.helpers:
-        out[_HELPERS] = ",".join(own.helpers)
-    if own.last_event_id:
-        out[_LAST_EVENT_ID] = own.last_event_id
+    out[_DEADLINE] = str(max(1, int(added.time_left_s * _MS)))
+    out[_EXPECT_INSTANCE] = added.target
+    if added.organisation:
+        out[_TENANT] = added.organisation
+    if added.priority is not None:
+        out[_PRIORITY] = str(added.priority)
+    if added.helpers:
+        out[_HELPERS] = ",".join(added.helpers)
+    if added.last_event_id:
+        out[_LAST_EVENT_ID] = added.last_event_id
     return out
 
 
 def for_order(target: str) -> dict[str, str]:
-    """Makes the headers of an order that is meant for one target."""
+    """Builds the headers of an order to a target."""
     return {_EXPECT_INSTANCE: target, "Content-Type": "application/json"}
 
 
 def for_caller(
     given: Iterable[tuple[str, str]],
 ) -> multidict.CIMultiDict[str]:
-    """Makes the headers of an answer from a target's."""
+    """Builds the headers of a response from those of a target."""
     given = list(given)
     dropped = _HOP_BY_HOP | _named_by_connection(given)
     return multidict.CIMultiDict(
@@ -200,26 +210,26 @@
 
 
 def read_reply(headers: Mapping[str, str]) -> ReplyFacts:
-    """Reads a target's headers."""
-    running, waiting = _load(headers.get(_LOAD))
+    """Parses the headers of a target's response."""
+    running, waiting = _parse_load(headers.get(_LOAD))
     return ReplyFacts(
         request=headers.get(_REQUEST_ID, ""),
         sealed=bool(headers.get(_SEAL)),
         not_run=_NOT_EXECUTED in headers,
         running=running,
         waiting=waiting,
-        retry_after_s=_number(headers.get(_RETRY_AFTER)),
+        retry_after_s=_parse_number(headers.get(_RETRY_AFTER)),
         at_fault=headers.get(_AT_FAULT, ""),
         encoded="Content-Encoding" in headers,
     )
 
 
-def _load(text: str | None) -> tuple[int | None, int]:
-    """Reads "RUNNING,WAITING,SLOTS"."""
+def _parse_load(text: str | None) -> tuple[int | None, int]:
+    """Parses "RUNNING,WAITING,SLOTS" into running and waiting requests."""
     parts = (text or "").split(",")
     if len(parts) < 2:
         return None, 0
-    running, waiting = _number(parts[0]), _number(parts[1])
+    running, waiting = _parse_number(parts[0]), _parse_number(parts[1])
     if running is None or waiting is None:
         return None, 0
     return int(running), int(waiting)
@@ -234,8 +244,8 @@
     )
 
 
-def _number(text: str | None) -> float | None:
-    """Reads a finite number that is not negative, None if it is none."""
+def _parse_number(text: str | None) -> float | None:
+    """Parses a finite, non-negative number; returns None for other text."""
     try:
         value = float(text) if text else None
     except ValueError:
--- a/copperloom/platform/http.py
+++ b/copperloom/platform/http.py
@@ -1,8 +1,8 @@
-"""The platform's service over HTTP, as docs/PROTOCOLS.md describes it.
+"""The platform's services over HTTP, as described in docs/PROTOCOLS.md.
 
-The errors tell whether a write can have taken effect, because every safe use
-of a conditional write depends on that: only a connection that was never made,
-a 429 or a 503 proves that it did not.
+Errors distinguish whether a write may have taken effect, because the safe use
+of conditional writes depends on it: only a connection that was never
+established, or status 429 or 503, proves that it did not.
 """
 
 import urllib.parse
@@ -17,8 +17,8 @@
 
 __all__ = ["CALLS", "FAILURES", "connect"]
 
-# In no registry of their own: each entry adds them to its own one. Entries
-# that share a process share these counts.
+# Not registered here: each entry adds them to its own registry. Entries in the
+# same process share these counters.
 CALLS = prometheus_client.Counter(
     "copperloom_platform_calls",
     "Calls to the platform's service.",
@@ -52,12 +52,12 @@
     instances: list[interface.InstanceRow]
 
 
-class _Refused(msgspec.Struct):
+class _RateLimited(msgspec.Struct):
     retry_after_s: float = _DEFAULT_RETRY_S
 
 
 class _Client:
-    """The connections to one platform address."""
+    """The HTTP session of one platform address."""
 
     def __init__(self, address: str):
         self.address = address
@@ -65,22 +65,21 @@
         self.closed = False
 
     def open(self) -> aiohttp.ClientSession:
-        """Returns the session, made on first use inside the loop."""
+        """Returns the session, creating it on first use in the event loop."""
         if self.closed:
-            raise exception.PlatformDownError("this client is closed")
+            raise exception.PlatformDownError("the platform client is closed")
         if self.session is None:
             self.session = aiohttp.ClientSession()
         return self.session
 
 
 def connect(address: str) -> interface.Platform:
-    """Makes the functions of the platform at an address.
+    """Returns the functions of the platform at an address.
+
+    Connections are established on first use and kept open.
 
     Args:
         address: IP:port.
-
-    Returns:
-        The record; connections are made on first use and kept.
     """
     client = _Client(address)
     bound = {
@@ -104,7 +103,7 @@
     raw = await _write(
         client, "transact", "POST", "/table/transact", body, timeout_s
     )
-    # An answer that cannot be read proves nothing about the write.
+    # After a malformed response the outcome of the write is unknown.
     result = _decode(raw, _Transact, exception.PlatformUnknownError)
     return interface.TransactResult(result.committed, result.conflicts)
 
@@ -123,11 +122,11 @@
 
 
 async def _get_object(client, name, *, timeout_s):
-    return await _fetch(client, "get_object", _object(name), timeout_s)
+    return await _fetch(client, "get_object", _object_path(name), timeout_s)
 
 
 async def _put_object(client, name, data, *, timeout_s):
-    path = _object(name)
+    path = _object_path(name)
     await _write(client, "put_object", "PUT", path, data, timeout_s)
 
 
@@ -166,19 +165,19 @@
 }
 
 
-def _object(name: str) -> str:
+def _object_path(name: str) -> str:
     return "/objects/" + urllib.parse.quote(name, safe="")
 
 
 async def _fetch(client, call, path, timeout_s) -> bytes | None:
-    """Reads; any failure means that nothing took effect. 404 gives None."""
+    """Reads; any failure is without effect. Returns None for status 404."""
     return await _request(
         client, call, "GET", path, None, timeout_s, exception.PlatformDownError
     )
 
 
 async def _write(client, call, method, path, body, timeout_s) -> bytes:
-    """Writes; a failure after the connection was made proves nothing."""
+    """Writes; after a failure on an open connection the outcome is unknown."""
     return await _request(
         client,
         call,
@@ -190,35 +189,35 @@
     )
 
 
-async def _request(client, call, method, path, body, timeout_s, lost):
+async def _request(client, call, method, path, body, timeout_s, error_class):
     CALLS.labels(call).inc()
     try:
-        return await _send(client, method, path, body, timeout_s, lost)
+        return await _send(client, method, path, body, timeout_s, error_class)
     except exception.CopperloomError as error:
         FAILURES.labels(call, error.code).inc()
         raise
 
 
-async def _send(client, method, path, body, timeout_s, lost):
+async def _send(client, method, path, body, timeout_s, error_class):
     url = yarl.URL(f"http://{client.address}{path}", encoded=True)
-    limit = aiohttp.ClientTimeout(total=timeout_s, sock_connect=timeout_s / 2)
+    timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=timeout_s / 2)
     try:
         async with client.open().request(
-            method, url, data=body, timeout=limit
+            method, url, data=body, timeout=timeout
         ) as reply:
             raw = await reply.read()
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        # No connection was made, so no byte of the request went out.
+        # No byte of the request was sent.
         raise exception.PlatformDownError(str(error)) from error
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        raise lost(f"{method} {path}: {type(error).__name__}") from error
-    return _check(reply.status, raw, f"{method} {path}", lost)
+        raise error_class(f"{method} {path}: {type(error).__name__}") from error
+    return _check(reply.status, raw, f"{method} {path}", error_class)
 
 
-def _check(status: int, raw: bytes, what: str, lost) -> bytes | None:
+def _check(status: int, raw: bytes, what: str, error_class) -> bytes | None:
     if status == _OK:
         return raw
     if status == _NOT_FOUND:
@@ -228,18 +227,18 @@
         raise exception.RateLimitedError(what, retry_after_s=after_s)
     if status == _UNAVAILABLE:
         raise exception.PlatformDownError(f"{what}: {status}")
-    raise lost(f"{what}: {status}")
+    raise error_class(f"{what}: {status}")
 
 
 def _retry_after(raw: bytes) -> float:
     try:
-        return msgspec.json.decode(raw, type=_Refused).retry_after_s
+        return msgspec.json.decode(raw, type=_RateLimited).retry_after_s
     except msgspec.MsgspecError:
         return _DEFAULT_RETRY_S
 
 
-def _decode(raw, kind, lost):
+def _decode(raw, kind, error_class):
     try:
         return msgspec.json.decode(raw or b"", type=kind)
     except msgspec.MsgspecError as error:
-        raise lost(f"unreadable answer: {error}") from error
+        raise error_class(f"malformed response: {error}") from error
--- a/copperloom/platform/interface.py
+++ b/copperloom/platform/interface.py
@@ -1,9 +1,10 @@
-"""What the platform gives, as the rest of the package sees it.
+"""The interface of the platform's services.
 
-Any platform is a `Platform` record of functions; `copperloom.platform.http`
-makes one for the protocol of the stand-in. All functions are coroutines and
-take `timeout_s`. They raise `PlatformDownError` when nothing can have taken
-effect, `PlatformUnknownError` when a write may have, and `RateLimitedError`.
+A platform is a `Platform` record of coroutine functions;
+`copperloom.platform.http` builds one for the HTTP protocol. Every function
+except `close` takes `timeout_s`. They raise `PlatformDownError` if the call
+certainly had no effect, `PlatformUnknownError` if a write may have taken
+effect, and `RateLimitedError`.
 """
 
 import dataclasses
@@ -24,9 +25,10 @@
     """A row of the table service.
 
     Attributes:
-        key: Its key; scans are in the order of keys.
+        key: Key of the row; scans return rows in key order.
         value: Any JSON value.
-        version: Grows by one with each write; 0 means that there is no row.
+        version: Incremented by each write; 0 means that the row does not
+            exist.
     """
 
     key: str
@@ -36,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """Holds if the row has just this version (0: there is no such row)."""
+    """Requires that a row has this version (0: the row does not exist)."""
 
     key: str
     version: int
@@ -44,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Write:
-    """Sets a row's value; None deletes the row."""
+    """Sets the value of a row; None deletes the row."""
 
     key: str
     value: object | None
@@ -52,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TransactResult:
-    """The outcome of a transaction: all writes or none.
+    """The outcome of a transaction, which applies all its writes or none.
 
     Attributes:
-        committed: Whether it took effect.
-        conflicts: The rows, as they are, whose condition did not hold.
+        committed: Whether the writes were applied.
+        conflicts: Current rows whose condition did not hold.
     """
 
     committed: bool
@@ -65,14 +67,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceRow:
-    """A line of the platform's lagging list of instances and targets.
+    """An element of the platform's list of instances and targets.
+
+    The list is eventually consistent.
 
     Attributes:
-        name: Instance name, or target name.
+        name: Name of the instance or target.
         kind: "entry", "engine" or "service".
-        address: IP:port for peers (entry) or the target's address.
-        data_centre: Where it stands.
-        leaving: Whether the platform is about to take it away.
+        address: IP:port for peers (entry) or of the target.
+        data_centre: Data centre of the instance or target.
+        leaving: Whether the platform is about to remove it.
     """
 
     name: str
@@ -84,21 +88,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """A platform as a record of coroutine functions.
+    """The functions of a platform.
 
     Attributes:
         transact: (conditions, writes, *, timeout_s) -> TransactResult. At
             most 25 rows.
-        read: (key, *, timeout_s) -> Row (version 0 if there is none).
+        read: (key, *, timeout_s) -> Row (version 0 if it does not exist).
         scan: (prefix, *, after="", limit=1000, timeout_s) -> list of Row in
-            the order of keys.
+            key order.
         get_object: (name, *, timeout_s) -> bytes or None.
         put_object: (name, data, *, timeout_s) -> None.
         instances: (*, timeout_s) -> list of InstanceRow.
-        announce: (row, *, timeout_s) -> None; tells the platform's agent that
-            this instance is up or leaving.
-        acquire_weights: (count, *, timeout_s) -> None; takes permits of the
-            weight store or raises RateLimitedError.
+        announce: (row, *, timeout_s) -> None; reports to the platform's agent
+            that this instance is up or draining.
+        acquire_weights: (count, *, timeout_s) -> None; acquires permits of
+            the model weight store or raises RateLimitedError.
         close: () -> None.
     """
 
--- a/copperloom/platform/orders.py
+++ b/copperloom/platform/orders.py
@@ -1,4 +1,4 @@
-"""Encodes orders to targets, and decodes what they answer."""
+"""Encodes memory reservation orders to targets and decodes the replies."""
 
 import dataclasses
 
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderCall:
-    """A call to a target.
+    """The HTTP request of an order to a target.
 
     Attributes:
-        headers: Its headers.
-        body: Its body.
+        headers: Headers of the request.
+        body: Body of the request, as JSON.
     """
 
     headers: dict[str, str]
@@ -27,13 +27,14 @@
 
 
 def reserve(target: str, name: str, tokens: int, hold_s: float) -> OrderCall:
-    """Makes the order to set memory aside, or to prolong it.
+    """Builds the order to reserve memory or to extend a reservation.
 
     Args:
-        target: Name of the target that is meant.
-        name: Name of the reservation; the same one prolongs it.
-        tokens: How much.
-        hold_s: Life of the reservation, from the order's arrival.
+        target: Name of the target.
+        name: Name of the reservation; an existing name extends it.
+        tokens: Size of the reservation, in tokens.
+        hold_s: Lifetime of the reservation from the order's arrival, in
+            seconds.
     """
     body = {
         "op": "reserve",
@@ -41,19 +42,19 @@
         "tokens": tokens,
         "hold_ms": int(hold_s * _MS),
     }
-    return _call(target, body)
+    return _build(target, body)
 
 
 def release(target: str, name: str) -> OrderCall:
-    """Makes the order to give memory back."""
-    return _call(target, {"op": "release", "id": name})
+    """Builds the order to release a reservation."""
+    return _build(target, {"op": "release", "id": name})
 
 
 def was_granted(status: int) -> bool:
-    """Tells whether the memory is set aside."""
+    """Returns whether the target granted the reservation."""
     return status == _OK
 
 
-def _call(target: str, body: dict) -> OrderCall:
-    own = headers.for_order(target)
-    return OrderCall(own, msgspec.json.encode(body))
+def _build(target: str, body: dict) -> OrderCall:
+    order_headers = headers.for_order(target)
+    return OrderCall(order_headers, msgspec.json.encode(body))
--- a/copperloom/platform/report.py
+++ b/copperloom/platform/report.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's report on a day that was played."""
+"""Decodes the platform's score report of one day of traffic."""
 
 import dataclasses
 import pathlib
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One of the views under which the worth of a day is taken.
+    """A weighted part of the score of a day.
 
     Attributes:
-        name: Which requests it looks at.
-        weight: Its weight.
-        earned: Share of the worth that callers got.
+        name: Name of the requests that the part covers.
+        weight: Weight of the part in the score.
+        earned: Share of the worth of these requests that was earned.
     """
 
     name: str
@@ -26,38 +26,39 @@
 
     @property
     def missing(self) -> float:
-        """What the day loses by it."""
+        """The amount by which the part lowers the score."""
         return self.weight * (1.0 - self.earned)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a day was worth.
+    """The score of a day.
 
     Attributes:
-        worth: The sum: all parts by weight, less prices.
-        parts: The parts.
-        prices: What was taken off, by name.
+        worth: Weighted sum of the parts, less the deductions.
+        parts: The parts of the score.
+        deductions: Amounts subtracted from the score, by name.
     """
 
     worth: float
     parts: tuple[Part, ...]
-    prices: dict[str, float]
+    deductions: dict[str, float]
 
 
 class _File(msgspec.Struct):
-    # The day's worth, its parts (name, weight, share), and its prices (name,
-    # quantity, what they take off).
+    # The score, its parts (name, weight, earned share), and its deductions
+    # (name, quantity, amount).
     G: float
     parts: list[tuple[str, float, float]]
     prices: list[tuple[str, float, float]]
 
 
 def load(path: str) -> Report:
-    """Reads a report.
+    """Loads a report from a file.
 
     Raises:
-        copperloom.exception.SettingsError: File, and what is wrong.
+        copperloom.exception.SettingsError: The file can't be read or is
+            malformed.
     """
     try:
         doc = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=_File)
@@ -66,5 +67,5 @@
     return Report(
         doc.G,
         tuple(Part(*row) for row in doc.parts),
-        {name: taken for name, _, taken in doc.prices if taken},
+        {name: amount for name, _, amount in doc.prices if amount},
     )
--- a/copperloom/platform/settings.py
+++ b/copperloom/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings file that the platform gives each process."""
+"""Loads the settings file that the platform provides to each process."""
 
 import dataclasses
 import pathlib
@@ -9,37 +9,41 @@
 
 __all__ = ["ENVIRONMENT", "PlatformSettings", "load"]
 
-# The environment variable that holds the file's path.
+# The environment variable that holds the path of the settings file.
 ENVIRONMENT = "COPPERLOOM_SETTINGS"
 _MS = 1000.0
 _MEGABIT_BYTES = 125_000.0
-# 100 Mbit/s, where the platform does not say.
+# Default: 100 Mbit/s.
 _LINK_BYTES_S = 12_500_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Where this instance stands and what it may use.
+    """Identity, addresses and limits of this instance.
 
     Attributes:
         instance: Name of this instance.
-        ip: Its address.
-        data_centre: Where it stands.
+        ip: IP address of this instance.
+        data_centre: Data centre of this instance.
         callers_listen: IP:port for callers.
-        readiness_listen: IP:port where the balancer asks for readiness.
-        peers_listen: IP:port for calls of other instances; "" if none.
-        internal_ports: First and last port free for use among instances.
+        readiness_listen: IP:port for the load balancer's readiness checks.
+        peers_listen: IP:port for calls from other instances; "" if none.
+        internal_ports: First and last port of the range that instances may
+            use for traffic among themselves.
         seeds: IP:port of other instances' peers_listen; may be stale.
         store: IP:port of the platform's table service.
-        grace_s: Time from SIGTERM to SIGKILL.
-        drain_s: Time after which no request may reach a target that leaves.
-        retry_ratio: Repeats allowed for each request, all instances together.
-        retry_window_s: Window in which repeats are counted.
-        retry_slack: Repeats allowed in a window besides.
-        free_s: Time within which memory set aside must be released.
-        reservation_max_s: Longest life of a reservation at an engine.
-        link_bytes_s: Rate of this instance's link.
-        cores: Its share of processor time, in cores.
+        grace_s: Time from SIGTERM to SIGKILL, in seconds.
+        drain_s: Time after which no request may reach a draining target, in
+            seconds.
+        retry_ratio: Retries allowed per request, over all instances.
+        retry_window_s: Window over which retries are counted, in seconds.
+        retry_slack: Retries allowed per window in addition to the ratio.
+        free_s: Time within which unused reserved memory must be released, in
+            seconds.
+        reservation_max_s: Maximum lifetime of a reservation at an engine, in
+            seconds.
+        link_bytes_s: Bandwidth of this instance's link, in bytes per second.
+        cores: Processor time available to this instance, in cores.
         is_first_start: Whether the whole system starts for the first time.
     """
 
@@ -85,9 +89,10 @@
 
 
 class _Limits(msgspec.Struct):
-    # Megabits a second.
+    # Megabits per second; 0 if not specified.
     link_mbps: float = 0.0
-    # Share of a core, and how many times as fast as one it is.
+    # Share of a core, and the speed of that core as a multiple of a
+    # reference core.
     cpu_share: float = 1.0
     cores: float = 1.0
 
@@ -106,16 +111,17 @@
 
 
 def load(path: str) -> PlatformSettings:
-    """Reads the file.
+    """Loads the settings of this instance from a file.
 
     Raises:
-        copperloom.exception.SettingsError: File, field and what is wrong.
+        copperloom.exception.SettingsError: The file can't be read or has an
+            invalid field.
     """
     try:
         doc = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=_File)
     except (OSError, msgspec.MsgspecError) as error:
         raise exception.SettingsError(f"{path}: {error}") from error
-    own = doc.bounds
+    bounds = doc.bounds
     return PlatformSettings(
         instance=doc.node_name,
         ip=doc.ip,
@@ -126,13 +132,13 @@
         internal_ports=doc.internal_ports,
         seeds=tuple(doc.seeds),
         store=doc.platform.address,
-        grace_s=own.grace_s,
-        drain_s=own.drain_ms / _MS,
-        retry_ratio=own.retry_budget_ratio,
-        retry_window_s=own.budget_window_s,
-        retry_slack=own.budget_slack,
-        free_s=own.free_ms / _MS,
-        reservation_max_s=own.hold_max_ms / _MS,
+        grace_s=bounds.grace_s,
+        drain_s=bounds.drain_ms / _MS,
+        retry_ratio=bounds.retry_budget_ratio,
+        retry_window_s=bounds.budget_window_s,
+        retry_slack=bounds.budget_slack,
+        free_s=bounds.free_ms / _MS,
+        reservation_max_s=bounds.hold_max_ms / _MS,
         link_bytes_s=doc.limits.link_mbps * _MEGABIT_BYTES or _LINK_BYTES_S,
         cores=round(doc.limits.cpu_share * doc.limits.cores, 3),
         is_first_start=doc.bootstrap,
--- a/copperloom/platform/standins/__init__.py
+++ b/copperloom/platform/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs that speak the platform's published protocol, for tests."""
+"""In-process fakes of the platform's table service and targets, for tests."""
--- a/copperloom/platform/standins/store.py
+++ b/copperloom/platform/standins/store.py
@@ -1,4 +1,4 @@
-"""Plays the platform's table service in memory."""
+"""An in-memory fake of the platform's table service."""
 
 import asyncio
 import base64
@@ -9,7 +9,7 @@
 
 __all__ = ["StoreStandin", "serve"]
 
-_MOST_ROWS = 500
+_MAX_ROWS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -19,18 +19,22 @@
 
 
 class StoreStandin:
-    """The rows, and the faults that a test asks for.
+    """The rows of the service and the faults that a test injects.
 
     Attributes:
-        rows: Rows by table and key; value None marks a removed one.
-        version: The last transaction.
-        history_from: Changes before this version are forgotten.
-        down: Status that every call gets, None to serve.
-        turned_away: Addresses of callers that get 503.
-        mute: Whether calls get no answer at all.
-        lose_writes: Writes that are done and not answered.
-        calls: Calls so far by path.
-        pages: Pages given so far by table.
+        rows: Rows by table and key; value None marks a removed row.
+        version: Version of the last transaction.
+        history_from: Version before which changes are no longer available.
+        down: Status returned to every call; None to serve calls.
+        rejected_callers: Addresses of callers that receive status 503.
+        unresponsive: Whether calls get no response.
+        lost_responses: Number of next writes that are applied but get no
+            response.
+        calls: Number of calls by the last component of their path.
+        pages: Number of pages returned by table.
+        changed: Event that is set by the next change and then replaced.
+        address: IP:port.
+        runner: Runner of the HTTP server.
     """
 
     def __init__(self):
@@ -38,9 +42,9 @@
         self.version = 0
         self.history_from = 0
         self.down: int | None = None
-        self.turned_away: set[str] = set()
-        self.mute = False
-        self.lose_writes = 0
+        self.rejected_callers: set[str] = set()
+        self.unresponsive = False
+        self.lost_responses = 0
         self.calls: dict[str, int] = {}
         self.pages: dict[str, int] = {}
         self.changed = asyncio.Event()
@@ -48,33 +52,33 @@
         self.runner: web.AppRunner | None = None
 
     def put(self, table: str, key: str, value: bytes | dict) -> int:
-        """Writes a row; returns its version."""
+        """Writes a row and returns its version."""
         if isinstance(value, dict):
             value = msgspec.json.encode(value)
         self._set(table, key, base64.b64encode(value).decode())
         return self.version
 
     def remove(self, table: str, key: str) -> int:
-        """Removes a row; returns the version of that."""
+        """Removes a row and returns the version of the removal."""
         self._set(table, key, None)
         return self.version
 
     def forget_history(self) -> None:
-        """Drops all changes: feeds must read everything again."""
+        """Drops the change history, so that clients must read whole tables."""
         self.history_from = self.version
-        self._wake()
+        self._notify()
 
     async def close(self) -> None:
-        """Stops serving."""
+        """Stops the service."""
         await self.runner.cleanup()
 
     def _set(self, table: str, key: str, value: str | None) -> None:
         self.version += 1
         rows = self.rows.setdefault(table, {})
         rows[key] = _Row(value, self.version)
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -87,7 +91,7 @@
         [
             web.get("/copperloom/rows-get", _bind(store, _get)),
             web.get("/copperloom/rows-feed", _bind(store, _feed)),
-            web.post("/copperloom/rows-tx", _bind(store, _tx)),
+            web.post("/copperloom/rows-tx", _bind(store, _transact)),
         ]
     )
     store.runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -103,11 +107,11 @@
     async def middleware(request, handler):
         name = request.path.rpartition("/")[2]
         store.calls[name] = store.calls.get(name, 0) + 1
-        if store.mute:
+        if store.unresponsive:
             await asyncio.sleep(3600)
         if store.down is not None:
             return web.Response(status=store.down)
-        if request.remote in store.turned_away:
+        if request.remote in store.rejected_callers:
             return web.Response(status=503)
         return await handler(request)
 
@@ -131,8 +135,8 @@
         for key, row in table.items()
         if row.value is not None and key >= start
     )
-    page = [_encode(k, r) for k, r in live[:_MOST_ROWS]]
-    return _json(store, page, more=len(live) > _MOST_ROWS)
+    page = [_encode(k, r) for k, r in live[:_MAX_ROWS]]
+    return _json(store, page, more=len(live) > _MAX_ROWS)
 
 
 async def _feed(store: StoreStandin, request: web.Request) -> web.Response:
@@ -143,7 +147,7 @@
     while True:
         if after < store.history_from:
             return web.Response(status=410)
-        if request.remote in store.turned_away or store.down is not None:
+        if request.remote in store.rejected_callers or store.down is not None:
             return web.Response(status=503)
         rows = store.rows.get(table, {})
         found = sorted(
@@ -160,7 +164,7 @@
             continue
 
 
-async def _tx(store: StoreStandin, request: web.Request) -> web.Response:
+async def _transact(store: StoreStandin, request: web.Request) -> web.Response:
     body = msgspec.json.decode(await request.read())
     for expected in body.get("expect", []):
         row = store.rows.get(expected["table"], {}).get(expected["key"])
@@ -171,8 +175,8 @@
         store._set(row["table"], row["key"], row["value"])
     for row in body.get("remove", []):
         store._set(row["table"], row["key"], None)
-    if store.lose_writes:
-        store.lose_writes -= 1
+    if store.lost_responses:
+        store.lost_responses -= 1
         request.transport.abort()
     return _json(store, [])
 
--- a/copperloom/platform/standins/target.py
+++ b/copperloom/platform/standins/target.py
@@ -1,4 +1,4 @@
-"""Plays a target: a model engine's stream or a plain service's answer."""
+"""A fake target: the stream of a model engine or a plain service."""
 
 import asyncio
 import collections
@@ -14,11 +14,11 @@
 
 __all__ = ["Fault", "Seen", "TargetStandin", "serve"]
 
-_PIECE = 16
+_PARTIAL_EVENT_BYTES = 16
 
 
 class Fault(enum.Enum):
-    """What a target does with one request instead of answering it well."""
+    """The faults that a target can inject into the answer to a request."""
 
     REFUSE = "refuse"
     MISDIRECTED = "misdirected"
@@ -38,15 +38,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Seen:
-    """A request that came.
+    """A request that a target received.
 
     Attributes:
-        id: Its id.
-        method: Its method.
-        raw_path: Path and query, as sent.
-        headers: Its headers.
-        body: Its body.
-        ran: Whether it was run.
+        id: Request id.
+        method: HTTP method.
+        raw_path: Path and query as sent.
+        headers: Headers of the request.
+        body: Body of the request.
+        ran: Whether the target ran the request.
     """
 
     id: str
@@ -58,21 +58,23 @@
 
 
 class TargetStandin:
-    """A target, and the faults that a test asks for.
+    """The state of a target and the faults that a test injects.
 
     Attributes:
-        name: Its name.
+        name: Name of the target.
         address: IP:port.
         faults: Faults of the next requests, in order.
-        always: Fault of every request, None for none.
-        events: Events of a stream.
-        pause_s: Time before each event and before a plain answer.
-        break_after: Events before BREAK and HALF_EVENT act.
-        seen: All requests.
-        running: Requests at work now.
-        left: Requests whose caller closed the connection.
+        always: Fault of the requests after these; None for none.
+        events: Number of events of a stream.
+        pause_s: Delay before each event and each plain answer, in seconds.
+        break_after: Number of events sent before BREAK and HALF_EVENT take
+            effect.
+        seen: All requests received.
+        running: Number of requests in progress.
+        left: Number of requests whose caller closed the connection.
         memory: Tokens reserved, by reservation.
-        kv_tokens: Memory in all.
+        kv_tokens: Capacity of the KV cache, in tokens.
+        runner: Runner of the HTTP server.
     """
 
     def __init__(self, name: str):
@@ -92,11 +94,11 @@
 
     @property
     def runs(self) -> list[str]:
-        """Ids of the requests that ran."""
+        """Ids of the requests that were run."""
         return [s.id for s in self.seen if s.ran]
 
     def registration(self, service: str, **changes) -> dict:
-        """Returns the row with which it registers."""
+        """Returns the row with which the target registers."""
         row = {
             "service": service,
             "address": self.address,
@@ -111,7 +113,7 @@
         return row | changes
 
     async def close(self) -> None:
-        """Stops serving."""
+        """Stops the target."""
         await self.runner.cleanup()
 
 
@@ -141,7 +143,7 @@
 async def _handle(target, request) -> web.StreamResponse:
     body = await request.read()
     if request.path == "/copperloom/order":
-        return _order(target, msgspec.json.decode(body))
+        return _handle_order(target, msgspec.json.decode(body))
     expected = request.headers.get(wire.TARGET, target.name)
     fault = target.faults.popleft() if target.faults else target.always
     if expected != target.name:
@@ -185,17 +187,17 @@
     if fault is Fault.ENCODED:
         headers["Content-Encoding"] = "gzip"
     if wire.TOKENS in request.headers:
-        return await _stream(target, request, headers, fault)
+        return await _send_stream(target, request, headers, fault)
     await asyncio.sleep(target.pause_s)
     if fault is Fault.FAIL:
         return web.Response(status=500, headers=headers, body=b"failed")
     body = f"{target.name} did {request_id}".encode()
-    if fault in _RAW:
-        await _raw(request, headers, body, fault)
+    if fault in _RAW_FAULTS:
+        await _write_raw(request, headers, body, fault)
     return web.Response(headers=headers, body=body)
 
 
-_RAW = (
+_RAW_FAULTS = (
     Fault.TRUNCATE,
     Fault.RESET_UNFRAMED,
     Fault.UNFRAMED,
@@ -203,8 +205,8 @@
 )
 
 
-async def _raw(request, headers, body: bytes, fault: Fault) -> None:
-    """Writes an answer past the library, and ends the connection."""
+async def _write_raw(request, headers, body: bytes, fault: Fault) -> None:
+    """Writes a response bypassing aiohttp and closes the connection."""
     lines = [f"{k}: {v}" for k, v in headers.items()]
     if fault is Fault.TRUNCATE:
         lines.append(f"Content-Length: {len(body) + 10}")
@@ -222,14 +224,14 @@
 
 
 def _reset(request) -> None:
-    """Ends the connection with a reset in place of an orderly close."""
+    """Closes the connection with a TCP reset."""
     sock = request.transport.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     request.transport.abort()
 
 
-async def _stream(target, request, headers, fault) -> web.StreamResponse:
+async def _send_stream(target, request, headers, fault) -> web.StreamResponse:
     if fault is Fault.FAIL:
         return web.Response(status=500, headers=headers, body=b"failed")
     response = web.StreamResponse(headers=headers)
@@ -241,7 +243,7 @@
         event = f"id: {number}\ndata: piece {number}\n\n".encode()
         if number - first == target.break_after:
             if fault is Fault.HALF_EVENT:
-                await response.write(event[:_PIECE])
+                await response.write(event[:_PARTIAL_EVENT_BYTES])
             if fault in (Fault.BREAK, Fault.HALF_EVENT):
                 _reset(request)
                 return response
@@ -250,7 +252,7 @@
     return response
 
 
-def _order(target: TargetStandin, order: dict) -> web.Response:
+def _handle_order(target: TargetStandin, order: dict) -> web.Response:
     name = order.get("id", "")
     if order["op"] == "release":
         target.memory.pop(name, None)
--- a/copperloom/platform/standins/wire.py
+++ b/copperloom/platform/standins/wire.py
@@ -1,7 +1,7 @@
-"""What the platform's pages call things, for stand-ins and tests.
+"""The platform's names of headers and settings, for fakes and tests.
 
-Written apart from `copperloom.platform.headers` and `settings`, so that a
-mistake there is not made twice.
+Defined independently of `copperloom.platform.headers` and `settings`, so that
+tests detect a wrong name there.
 """
 
 __all__ = [
@@ -19,8 +19,9 @@
     "instance_settings",
 ]
 
-# Headers of requests: its id, the milliseconds that its caller waits, the API
-# key, tokens of prompt and answer, and what the system adds for the target.
+# Request headers: the request id, the time until the caller's deadline in
+# milliseconds, the API key, the token counts of prompt and answer, and the
+# headers that the system adds for the target.
 REQUEST = "Copperloom-Request-Id"
 LEFT = "Copperloom-Request-Deadline"
 KEY = "Copperloom-Key"
@@ -28,10 +29,11 @@
 ORGANISATION = "Copperloom-Tenant"
 TARGET = "Copperloom-Expect-Instance"
 HELPERS = "Copperloom-Helpers"
-# Headers of answers: the target's seal, and its word that nothing was run.
+# Response headers: the target's signature, and its statement that the request
+# was not run.
 SEAL = "Copperloom-Response-Seal"
 NOT_RUN = "Copperloom-Not-Executed"
-# The variable that names the file of an instance's settings.
+# The environment variable that holds the path of the settings file.
 INSTANCE_ENVIRONMENT = "COPPERLOOM_SETTINGS"
 
 _MS = 1000.0
@@ -41,7 +43,7 @@
 def caller_headers(
     host: str, request: str, key: str, wait_s: float, prompt_tokens: int = 0
 ) -> dict[str, str]:
-    """Returns a caller's headers; no token counts for plain requests."""
+    """Returns a caller's headers; plain requests carry no token counts."""
     headers = {
         "Host": host,
         REQUEST: request,
@@ -56,14 +58,14 @@
 def instance_settings(
     name: str, ip: str, ports: tuple[int, int, int], store: str, **changes
 ) -> dict:
-    """Returns the document of an instance's settings.
+    """Returns the settings document of an instance.
 
     Args:
-        name: The instance's name.
-        ip: Its address.
-        ports: For callers, readiness checks and peers.
+        name: Name of the instance.
+        ip: IP address of the instance.
+        ports: Ports for callers, readiness checks and peers.
         store: IP:port of the table service.
-        **changes: Fields of the document set otherwise.
+        **changes: Fields of the document that replace the defaults.
     """
     callers, readiness, peers = (f"{ip}:{port}" for port in ports)
     document = {
--- a/copperloom/platform/store.py
+++ b/copperloom/platform/store.py
@@ -1,9 +1,9 @@
 """The client of the platform's table service.
 
-Rows lie in tables, under a part (empty here) and a key, and bear a version
-from one counter over all tables. The errors tell whether a write can have
-taken effect: only a connection that was never made, a 429, a 503 or a failed
-condition proves that it did not.
+A row is identified by its table, a part (empty here) and a key. Versions come
+from a single counter over all tables. Errors distinguish whether a write may
+have taken effect: only a connection that was never established, status 429 or
+503, or a failed condition proves that it did not.
 """
 
 import base64
@@ -34,23 +34,24 @@
 _GONE = 410
 _FAILED_CONDITION = 412
 _REFUSED = (429, 503)
-# Connecting crosses a data centre or two, a few ms; a store that is cut off
-# answers nothing at all.
+# Short, because an unreachable service doesn't reject connections but leaves
+# them unanswered.
 _CONNECT_S = 0.5
 _CALL_S = 1.5
-# Answers to a feed come at the end of its wait; this is for the way.
-_FEED_SLACK_S = 0.7
+# A feed without changes responds only at the end of its wait; this covers the
+# network delay on top.
+_FEED_MARGIN_S = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredRow:
-    """A row.
+    """A row of the table service.
 
     Attributes:
-        key: Its key.
-        value: Its bytes; None if the row was removed or can't be read.
-        version: The transaction that wrote it.
-        removed: Whether the row is gone.
+        key: Key of the row.
+        value: Value in bytes; None if the row was removed or is malformed.
+        version: Version of the transaction that last wrote the row.
+        removed: Whether the row was removed.
     """
 
     key: str
@@ -64,8 +65,8 @@
     """Rows of a table as of one version.
 
     Attributes:
-        rows: The rows (or changed rows), in order.
-        version: Version that they are as of.
+        rows: All rows or the changed rows, in order.
+        version: Version that the rows reflect.
     """
 
     rows: tuple[StoredRow, ...]
@@ -92,8 +93,8 @@
     """The connection to the platform's table service.
 
     Attributes:
-        address: IP:port; may be set anew at any time.
-        calls: Calls made so far, by name and result: a status, or "lost".
+        address: IP:port; may be changed at any time.
+        calls: Number of calls by name and result: a status, or "lost".
     """
 
     def __init__(self, address: str):
@@ -102,7 +103,7 @@
         self.session: aiohttp.ClientSession | None = None
 
     def open(self) -> aiohttp.ClientSession:
-        """Returns the session, made on first use inside the loop."""
+        """Returns the session, creating it on first use in the event loop."""
         if self.session is None:
             self.session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
@@ -114,13 +115,13 @@
 
 
 async def close(store: Store) -> None:
-    """Closes the connections."""
+    """Closes the connections of a client."""
     if store.session is not None:
         await store.session.close()
 
 
 async def read_all(store: Store, table: str) -> Feed:
-    """Reads a whole table, in as many calls as it takes."""
+    """Reads a whole table, page by page."""
     rows: list[StoredRow] = []
     start = ""
     version = 0
@@ -133,28 +134,36 @@
         rows.extend(_row(r) for r in page.rows)
         if not page.has_more or not page.rows:
             return Feed(tuple(rows), version)
-        # The least key after the last one.
+        # The smallest key greater than the last one.
         start = page.rows[-1].key + "\0"
 
 
 async def feed(store: Store, table: str, after: int, wait_s: float) -> Feed:
-    """Waits for changes of a table after a version.
+    """Waits for changes to a table after a version.
+
+    Args:
+        store: The client.
+        table: Name of the table.
+        after: Version after which changes are returned.
+        wait_s: Time after which the service responds without changes, in
+            seconds.
 
     Raises:
-        copperloom.exception.HistoryGoneError: They are no longer kept.
-        copperloom.exception.PlatformDownError: No answer.
+        copperloom.exception.HistoryGoneError: The changes are no longer kept.
+        copperloom.exception.PlatformDownError: The call failed.
     """
     query = {"table": table, "after": after, "wait_ms": int(wait_s * 1000)}
-    page = await _get(store, "rows-feed", query, wait_s + _FEED_SLACK_S)
+    page = await _get(store, "rows-feed", query, wait_s + _FEED_MARGIN_S)
     return Feed(tuple(_row(r) for r in page.rows), page.ver)
 
 
 async def put_row(store: Store, table: str, key: str, value: bytes) -> None:
-    """Writes a row, whatever was there.
+    """Writes a row unconditionally.
 
     Raises:
-        copperloom.exception.PlatformDownError: It was not written.
-        copperloom.exception.PlatformUnknownError: It may have been written.
+        copperloom.exception.PlatformDownError: The row was not written.
+        copperloom.exception.PlatformUnknownError: The row may have been
+            written.
     """
     text = base64.b64encode(value).decode()
     row = {"table": table, "part": "", "key": key, "value": text}
@@ -162,7 +171,7 @@
 
 
 async def remove_row(store: Store, table: str, key: str) -> None:
-    """Removes a row; errors as for `put_row`."""
+    """Removes a row; raises the same errors as `put_row`."""
     row = {"table": table, "part": "", "key": key}
     await _write(store, {"expect": [], "writes": [], "remove": [row]})
 
@@ -179,11 +188,11 @@
         raise exception.PlatformUnknownError(f"rows-tx: {status}")
 
 
-async def _get(store: Store, call: str, query: dict, limit_s: float):
+async def _get(store: Store, call: str, query: dict, timeout_s: float):
     text = urllib.parse.urlencode(query)
     url = f"http://{store.address}/copperloom/{call}?{text}"
     status, raw = await _call(
-        store, "GET", url, None, limit_s, exception.PlatformDownError
+        store, "GET", url, None, timeout_s, exception.PlatformDownError
     )
     if status == _GONE:
         raise exception.HistoryGoneError(call)
@@ -195,11 +204,11 @@
         raise exception.PlatformDownError(f"{call}: {error}") from error
 
 
-async def _call(store, method, url, body, limit_s, lost):
-    """Calls once; `lost` is raised where the outcome is not known."""
+async def _call(store, method, url, body, timeout_s, unknown_error):
+    """Calls once; raises `unknown_error` if the outcome is unknown."""
     name = url.partition("?")[0].rpartition("/")[2]
     result = "lost"
-    limit = aiohttp.ClientTimeout(total=limit_s, sock_connect=_CONNECT_S)
+    timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=_CONNECT_S)
     headers = {"Content-Type": "application/json"} if body else None
     try:
         async with store.open().request(
@@ -207,7 +216,7 @@
             yarl.URL(url, encoded=True),
             data=body,
             headers=headers,
-            timeout=limit,
+            timeout=timeout,
         ) as reply:
             raw = await reply.read()
             result = str(reply.status)
@@ -218,7 +227,7 @@
     ) as error:
         raise exception.PlatformDownError(f"{name}: {error}") from error
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        raise lost(f"{name}: {type(error).__name__}") from error
+        raise unknown_error(f"{name}: {type(error).__name__}") from error
     finally:
         store.calls[name, result] += 1
 
--- a/copperloom/platform/tests/test_decoding.py
+++ b/copperloom/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Spoiled input never raises and never names a target."""
+"""Tests that malformed input neither raises nor yields a target."""
 
 import json
 import unittest
@@ -16,7 +16,7 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-_GOOD = {
+_VALID = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -30,18 +30,20 @@
 
 
 class TargetTest(unittest.TestCase):
-    def test_good_row(self):
-        entry = decoding.decode_target("t", json.dumps(_GOOD).encode())
+    def test_valid_row_is_decoded(self):
+        entry = decoding.decode_target("t", json.dumps(_VALID).encode())
         self.assertEqual(entry.address, "10.0.0.1:80")
         self.assertEqual(entry.born_ms, 7)
 
     @hypothesis.given(st.binary())
-    def test_any_bytes(self, raw):
+    def test_arbitrary_bytes_yield_no_target(self, raw):
         self.assertIsNone(decoding.decode_target("t", raw))
 
-    @hypothesis.given(st.sampled_from(sorted(_GOOD)), _JSON)
-    def test_one_field_of_any_value(self, field, value):
-        row = json.dumps(_GOOD | {field: value}).encode()
+    @hypothesis.given(st.sampled_from(sorted(_VALID)), _JSON)
+    def test_field_of_arbitrary_value_yields_no_unusable_target(
+        self, field, value
+    ):
+        row = json.dumps(_VALID | {field: value}).encode()
         entry = decoding.decode_target("t", row)
         if entry is not None:
             host, _, port = entry.address.rpartition(":")
@@ -51,7 +53,7 @@
 
 
 class TableTest(unittest.TestCase):
-    def test_good_document(self):
+    def test_valid_document_is_decoded(self):
         raw = json.dumps(fixtures.routes(5)).encode()
         table = decoding.decode_table(raw)
         self.assertEqual(table.version, 5)
@@ -62,17 +64,17 @@
         self.assertEqual(table.organisations["key-1"].name, "lounge")
 
     @hypothesis.given(st.binary())
-    def test_any_bytes(self, raw):
+    def test_arbitrary_bytes_yield_no_table(self, raw):
         self.assertIsNone(decoding.decode_table(raw))
 
     @hypothesis.given(st.sampled_from(sorted(fixtures.routes())), _JSON)
-    def test_one_field_of_any_value(self, field, value):
+    def test_field_of_arbitrary_value_does_not_raise(self, field, value):
         document = fixtures.routes() | {field: value}
         decoding.decode_table(json.dumps(document).encode())
 
-    def test_unknown_kind_leaves_the_other_routes(self):
-        odd = fixtures.engine_route("/odd/", kind="sideways")
-        raw = json.dumps(fixtures.routes(2, [odd])).encode()
+    def test_route_of_unknown_kind_is_skipped(self):
+        unknown = fixtures.engine_route("/odd/", kind="sideways")
+        raw = json.dumps(fixtures.routes(2, [unknown])).encode()
         table = decoding.decode_table(raw)
         self.assertIsNone(routing.match(table, fixtures.HOST, "/odd/"))
         self.assertIsNotNone(routing.match(table, fixtures.HOST, "/chat/"))
@@ -93,7 +95,7 @@
             st.text(),
         )
     )
-    def test_any_values(self, given):
+    def test_arbitrary_header_values_do_not_raise(self, given):
         head = headers.read_head(given)
         self.assertGreaterEqual(head.prompt_tokens, 0)
         facts = headers.read_reply(given)
@@ -109,19 +111,19 @@
         ),
         st.lists(st.integers(min_value=1, max_value=9)),
     )
-    def test_bytes_are_unchanged_however_they_come(self, parts, sizes):
+    def test_chunk_boundaries_do_not_change_the_bytes(self, parts, sizes):
         data = b"".join(parts)
         splitter = events.Splitter()
-        got = b""
-        at = 0
+        received = b""
+        offset = 0
         for size in [*sizes, len(data)]:
-            found = events.feed(splitter, data[at : at + size])
-            got += found.data if found else b""
-            at += size
-        self.assertEqual(got + splitter.rest, data)
+            found = events.feed(splitter, data[offset : offset + size])
+            received += found.data if found else b""
+            offset += size
+        self.assertEqual(received + splitter.rest, data)
         self.assertEqual(splitter.rest, b"")
 
-    def test_half_event_is_kept_back(self):
+    def test_incomplete_event_is_buffered(self):
         splitter = events.Splitter()
         found = events.feed(splitter, b"id: 1\ndata: a\n\nid: 2\nda")
         self.assertEqual(found.last_id, "1")
--- a/copperloom/platform/tests/test_store.py
+++ b/copperloom/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the table service, through everything that a call may meet."""
+"""Tests of the client of the table service, including failed calls."""
 
 import unittest
 
@@ -20,20 +20,20 @@
 
 
 class WriteTest(unittest.IsolatedAsyncioTestCase):
-    async def test_lost_answer_may_have_been_done(self):
-        """The service writes a row, and its answer is lost.
+    async def test_write_with_lost_response_has_unknown_outcome(self):
+        """The row is written, but the response is lost.
 
-        The caller must not take the write for failed: it is there.
+        Guards against reporting a write that took effect as failed.
         """
         service, client = await _start(self)
-        service.lose_writes = 1
+        service.lost_responses = 1
         with self.assertRaises(exception.PlatformUnknownError):
             await store.put_row(client, "t", "k", b"v")
         found = await store.read_all(client, "t")
         self.assertEqual([row.value for row in found.rows], [b"v"])
         self.assertEqual(client.calls["rows-tx", "lost"], 1)
 
-    async def test_refusals_have_done_nothing(self):
+    async def test_rejected_write_has_no_effect(self):
         service, client = await _start(self)
         for status in (412, 429, 503):
             service.down = status
@@ -42,13 +42,13 @@
         service.down = None
         self.assertEqual((await store.read_all(client, "t")).rows, ())
 
-    async def test_other_statuses_prove_nothing(self):
+    async def test_other_status_means_unknown_outcome(self):
         service, client = await _start(self)
         service.down = 500
         with self.assertRaises(exception.PlatformUnknownError):
             await store.put_row(client, "t", "k", b"v")
 
-    async def test_nobody_listens(self):
+    async def test_refused_connection_has_no_effect(self):
         client = store.Store("127.0.0.1:9")
         with self.assertRaises(exception.PlatformDownError):
             await store.put_row(client, "t", "k", b"v")
@@ -56,7 +56,7 @@
 
 
 class ReadTest(unittest.IsolatedAsyncioTestCase):
-    async def test_many_rows_take_several_calls(self):
+    async def test_large_table_is_read_in_pages(self):
         service, client = await _start(self)
         for number in range(1203):
             service.put("t", f"k{number:05}", b"v")
@@ -64,7 +64,7 @@
         self.assertEqual(len({row.key for row in found.rows}), 1203)
         self.assertEqual(client.calls["rows-get", "200"], 3)
 
-    async def test_spoiled_values_are_no_values(self):
+    async def test_malformed_value_is_read_as_none(self):
         service, client = await _start(self)
         service.put("t", "good", b"v")
         service._set("t", "spoiled", "not base64!")
@@ -72,7 +72,7 @@
         values = {row.key: row.value for row in found.rows}
         self.assertEqual(values, {"good": b"v", "spoiled": None})
 
-    async def test_removed_row_comes_by_the_feed(self):
+    async def test_feed_reports_a_removed_row(self):
         service, client = await _start(self)
         service.put("t", "k", b"v")
         before = (await store.read_all(client, "t")).version
@@ -80,7 +80,7 @@
         found = await store.feed(client, "t", before, 1.0)
         self.assertTrue(found.rows[0].removed)
 
-    async def test_history_that_is_gone(self):
+    async def test_feed_from_a_forgotten_version_fails(self):
         service, client = await _start(self)
         service.put("t", "k", b"v")
         service.forget_history()
