--- a/copperloom/daemons/__init__.py
+++ b/copperloom/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon."""
+"""The daemons `copperloom-entry` and `copperloom-front`."""
--- a/copperloom/daemons/admin.py
+++ b/copperloom/daemons/admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls to an entry, under /admin/v1/."""
+"""The HTTP API of an entry for operators, under /admin/v1/."""
 
 import asyncio
 import dataclasses
@@ -24,24 +24,25 @@
 __all__ = ["InForce", "require_majority", "routes", "wait_in_force"]
 
 _CHANGE_TIMEOUT_S = 10.0
-_SPREAD_S = 12.0
-_SPREAD_POLL_S = 0.1
-_AUDIT_ROWS = 100
-_AUDIT_MOST = 1000
+_DEFAULT_WAIT_S = 12.0
+_IN_FORCE_POLL_S = 0.1
+_DEFAULT_AUDIT_ROWS = 100
+_MAX_AUDIT_ROWS = 1000
 
 
-class ChangeAsked(msgspec.Struct, forbid_unknown_fields=True):
+class ChangeRequest(msgspec.Struct, forbid_unknown_fields=True):
     """The body of POST /admin/v1/changes.
 
     Attributes:
-        operator: Who asks.
-        puts: Entities to add or replace, by key.
-        deletes: Keys to remove.
-        note: Their reason.
-        seen_version: The version that the change builds on; None for the one
-            that the entry has.
-        nonce: Random text that names the change, so that it can be sent again.
-        wait_s: Longest wait until it is in force at all members.
+        operator: Name of the operator.
+        puts: (key, value) of entities to add or replace.
+        deletes: Keys of entities to delete.
+        note: Reason for the change.
+        seen_version: Version that the change is based on; None for the
+            version of this entry.
+        nonce: Random id of the change, which makes it safe to send again.
+        wait_s: Maximum time to wait until the change is in force at all
+            members, in seconds.
     """
 
     operator: str
@@ -50,21 +51,22 @@
     note: str = ""
     seen_version: int | None = None
     nonce: str = ""
-    wait_s: float = _SPREAD_S
+    wait_s: float = _DEFAULT_WAIT_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """Who has a version in force.
+    """How far a version has spread among the members.
 
     Attributes:
-        version: The version.
-        in_force: Members that have it.
-        members: Members known, this entry included.
-        majority: Whether those that have it are more than half, so that no
-            entry goes on without it for longer than confirm_s.
-        behind: Members that were not heard to have it.
-        waited_s: How long it was waited for.
+        version: Version of the configuration.
+        in_force: Number of members that have adopted the version.
+        members: Number of known members, including this entry.
+        majority: Whether more than half of the members have adopted the
+            version, so that no entry admits requests without it for longer
+            than confirm_s.
+        behind: Members that have not confirmed the version.
+        waited_s: Time spent waiting, in seconds.
     """
 
     version: int
@@ -76,7 +78,7 @@
 
 
 def routes(state) -> list[web.RouteDef]:
-    """Returns the operators' routes of an entry."""
+    """Returns the HTTP routes for operators."""
 
     def bind(function):
         async def handler(request: web.Request) -> web.Response:
@@ -98,12 +100,12 @@
 
 
 def _authorise(state, request: web.Request) -> None:
-    wanted = state.settings.entry.operator_token_sha256
+    expected_digest = state.settings.entry.operator_token_sha256
     scheme, _, token = request.headers.get("Authorization", "").partition(" ")
     digest = hashlib.sha256(token.strip().encode()).hexdigest()
-    same = hmac.compare_digest(digest.encode(), wanted.encode())
-    if not wanted or scheme.lower() != "bearer" or not same:
-        raise exception.NotAuthorisedError("not an operator's token")
+    matches = hmac.compare_digest(digest.encode(), expected_digest.encode())
+    if not expected_digest or scheme.lower() != "bearer" or not matches:
+        raise exception.NotAuthorisedError("invalid operator token")
 
 
 def _json(value, status: int = 200) -> web.Response:
@@ -125,51 +127,58 @@
 
 
 async def _config(state, request: web.Request) -> web.Response:
-    whole = msgspec.json.decode(snapshot.encode(state.cfg))
-    return _json({**whole, "preset": state.cfg.preset.name})
+    document = msgspec.json.decode(snapshot.encode(state.cfg))
+    return _json({**document, "preset": state.cfg.preset.name})
 
 
 async def _change(state, request: web.Request) -> web.Response:
     try:
-        asked = msgspec.json.decode(await request.read(), type=ChangeAsked)
+        change = msgspec.json.decode(await request.read(), type=ChangeRequest)
     except msgspec.MsgspecError as error:
         raise exception.MalformedRequestError(str(error)) from error
-    seen = asked.seen_version
-    if seen is not None and seen > state.cfg.version:
+    base_version = change.seen_version
+    if base_version is not None and base_version > state.cfg.version:
         await config.step(state, time.monotonic())
     await require_majority(state)
     version = await changes.make_change(
         state.platform,
         state.cfg,
-        tuple(asked.puts),
-        tuple(asked.deletes),
-        operator=asked.operator,
-        note=asked.note,
-        seen_version=state.cfg.version if seen is None else seen,
-        nonce=asked.nonce or secrets.token_hex(16),
+        tuple(change.puts),
+        tuple(change.deletes),
+        operator=change.operator,
+        note=change.note,
+        seen_version=state.cfg.version
+        if base_version is None
+        else base_version,
+        nonce=change.nonce or secrets.token_hex(16),
         wall_time_s=time.time(),
         timeout_s=_CHANGE_TIMEOUT_S,
     )
-    return _json(await wait_in_force(state, version, asked.wait_s))
+    return _json(await wait_in_force(state, version, change.wait_s))
 
 
 async def require_majority(state) -> None:
-    """Refuses a change that could not be told to more than half.
+    """Raises unless this entry is in contact with more than half the members.
 
-    Members out of contact could otherwise go on without it for as long as
-    they don't reach the platform, and callers would see it revert.
+    Otherwise members out of contact could keep the old configuration for as
+    long as they can't reach the platform, and callers would see the change
+    revert.
+
+    Raises:
+        copperloom.exception.StaleConfigurationError: Too few members are in
+            contact.
     """
     if _in_majority(state):
         return
     await digest_exchange.ask_all(state, list(state.members))
     if _in_majority(state):
         return
-    facts = config.evidence(state, time.monotonic())
-    if not config_staleness.has_fleet_view(facts):
-        raise exception.StaleConfigurationError("it does not know others yet")
+    evidence = config.evidence(state, time.monotonic())
+    if not config_staleness.has_fleet_view(evidence):
+        raise exception.StaleConfigurationError("no other member is known yet")
     raise exception.StaleConfigurationError(
-        f"in contact with {facts.contacts} of {facts.members} members: "
-        "use an entry in contact with more than half"
+        f"in contact with {evidence.contacts} of {evidence.members} members: "
+        "use an entry that is in contact with more than half"
     )
 
 
@@ -180,8 +189,14 @@
 
 
 async def wait_in_force(state, version: int, wait_s: float) -> InForce:
-    """Tells all members of a version and waits until they have it."""
-    begun = time.monotonic()
+    """Announces a version to all members and waits until it is in force.
+
+    Args:
+        state: State of the entry.
+        version: Version of the configuration.
+        wait_s: Maximum time to wait, in seconds.
+    """
+    started_at = time.monotonic()
     while True:
         now = time.monotonic()
         if state.cfg.version < version:
@@ -190,11 +205,11 @@
             except exception.CopperloomError as error:
                 event("poll_failed", code=error.code)
         behind = _behind(state, version)
-        if _all_silent(state, behind, now) or now - begun >= wait_s:
+        if _all_silent(state, behind, now) or now - started_at >= wait_s:
             break
         await digest_exchange.ask_all(state, behind)
         if _behind(state, version):
-            await asyncio.sleep(_SPREAD_POLL_S)
+            await asyncio.sleep(_IN_FORCE_POLL_S)
     if state.cfg.version < version:
         behind.append(state.settings.entry.instance)
     count = len(state.members) + 1
@@ -204,7 +219,7 @@
         members=count,
         majority=config_staleness.has_majority(count - len(behind), count),
         behind=tuple(sorted(behind)),
-        waited_s=round(now - begun, 3),
+        waited_s=round(now - started_at, 3),
     )
 
 
@@ -218,8 +233,8 @@
 
 async def _status(state, request: web.Request) -> web.Response:
     now = time.monotonic()
-    facts = config.evidence(state, now)
-    known = [
+    evidence = config.evidence(state, now)
+    members = [
         {
             "instance": m.instance,
             "data_centre": m.data_centre,
@@ -236,13 +251,13 @@
             "version": state.cfg.version,
             "preset": state.cfg.preset.name,
             "confirmed_age_s": _age(now, state.confirmed_at),
-            "contacts": facts.contacts,
-            "known_members": facts.members,
-            "knows_the_fleet": config_staleness.has_fleet_view(facts),
+            "contacts": evidence.contacts,
+            "known_members": evidence.members,
+            "knows_the_fleet": config_staleness.has_fleet_view(evidence),
             "draining": state.draining,
             "active": state.active,
             "leaving_targets": sorted(state.sched.leaving),
-            "members": sorted(known, key=lambda m: m["instance"]),
+            "members": sorted(members, key=lambda m: m["instance"]),
         }
     )
 
@@ -252,9 +267,11 @@
 
 
 async def _audit(state, request: web.Request) -> web.Response:
-    limit = request.query.get("limit", str(_AUDIT_ROWS))
-    if not limit.isdigit() or not 0 < int(limit) <= _AUDIT_MOST:
-        raise exception.MalformedRequestError(f"limit: 1 to {_AUDIT_MOST}")
+    limit = request.query.get("limit", str(_DEFAULT_AUDIT_ROWS))
+    if not limit.isdigit() or not 0 < int(limit) <= _MAX_AUDIT_ROWS:
+        raise exception.MalformedRequestError(
+            f"limit must be between 1 and {_MAX_AUDIT_ROWS}"
+        )
     first = max(0, state.cfg.version - int(limit))
     rows = await state.platform.scan(
         changes.AUDIT_PREFIX,
--- a/copperloom/daemons/entry.py
+++ b/copperloom/daemons/entry.py
@@ -7,9 +7,9 @@
 Options:
   --settings FILE  INI file.
 
-Stops gracefully on SIGTERM or SIGINT: first it tells that it is not ready,
-goes on accepting while the balancer learns that, then finishes the requests
-in progress and ends.
+Stops gracefully on SIGTERM or SIGINT: it reports that it is not ready, keeps
+accepting requests until the load balancer has noticed, then finishes the
+requests in progress and exits.
 """
 
 import asyncio
@@ -40,11 +40,12 @@
 __all__ = ["EntryService", "main", "start"]
 
 _DRAIN_POLL_S = 0.02
-# Accepting a connection, reading from it and starting its request take five.
-_TAKE_IN_TURNS = 10
-# A connection accepted last has its request on the way; many times the round
-# trip between a caller and an entry.
-_LINGER_S = 0.3
+# Accepting a connection, reading from it and starting its request take about
+# half as many iterations of the event loop.
+_INPUT_LOOP_ITERATIONS = 10
+# Time for the request on a newly accepted connection to arrive; many times the
+# round trip between a caller and an entry.
+_QUIET_S = 0.3
 _KEEPALIVE_S = 75.0
 _STOP_S = 2.0
 _SWEEP_S = 2.0
@@ -53,32 +54,40 @@
 
 
 def _controllers(state: EntryState) -> list[tuple[str, Step, float]]:
-    """Lists name, step and seconds between steps of each controller."""
-    own = state.settings
+    """Returns the name, step and interval in seconds of each controller."""
+    entry_settings = state.settings
     return [
-        ("config", config.step, own.platform.head_poll_s),
-        ("members", membership.step, own.membership.exchange_s),
-        ("leaving", draining.step, own.platform.instances_poll_s),
-        ("loads", load_polling.step, own.targets.load_poll_s),
-        ("owners", reservation_owners.step, own.targets.reservation_s / 4),
-        ("reclaim", reclaim.step, own.targets.reclaim_poll_s),
+        ("config", config.step, entry_settings.platform.head_poll_s),
+        ("members", membership.step, entry_settings.membership.exchange_s),
+        ("leaving", draining.step, entry_settings.platform.instances_poll_s),
+        ("loads", load_polling.step, entry_settings.targets.load_poll_s),
+        (
+            "owners",
+            reservation_owners.step,
+            entry_settings.targets.reservation_s / 4,
+        ),
+        ("reclaim", reclaim.step, entry_settings.targets.reclaim_poll_s),
         ("sweep", sweep.step, _SWEEP_S),
         ("orders", model_orders.step, model_orders.interval_s(state)),
     ]
 
 
 class EntryService(mode.Service):
-    """The entry as a service: start it, stop it gracefully.
+    """An entry as a service that starts and stops gracefully.
 
     Attributes:
-        entry: What the entry holds in memory.
+        entry_settings: Settings of the entry.
+        entry: State of the entry, once started.
         listen: IP:port for callers, once started.
         peers: IP:port for other entries, once started.
+        runner: Runner of the HTTP server for callers, once started.
+        site: Listening site of that server, once started.
+        server: Server for other entries, once started.
     """
 
-    def __init__(self, own: options.EntrySettings):
+    def __init__(self, entry_settings: options.EntrySettings):
         super().__init__()
-        self.own = own
+        self.entry_settings = entry_settings
         self.entry: EntryState | None = None
         self.listen = ""
         self.peers = ""
@@ -87,24 +96,26 @@
         self.server = None
 
     async def on_start(self) -> None:
-        """Connects, listens and starts the controllers."""
+        """Creates the clients, starts the servers and the controllers."""
         state = EntryState(
-            self.own,
-            platform_http.connect(self.own.platform.address),
-            targets_http.connect(connect_s=self.own.targets.connect_s),
+            self.entry_settings,
+            platform_http.connect(self.entry_settings.platform.address),
+            targets_http.connect(
+                connect_s=self.entry_settings.targets.connect_s
+            ),
         )
         self.entry = state
         self.server, self.peers = await server.serve(state)
         self.runner, self.site, self.listen = await _listen(state)
         self.add_future(dispatcher.run(state))
-        for name, step, every_s in _controllers(state):
-            self.add_future(_repeat(state, name, step, every_s))
+        for name, step, interval_s in _controllers(state):
+            self.add_future(_repeat(state, name, step, interval_s))
         logs.event(
             "started", boot=state.boot, listen=self.listen, peers=self.peers
         )
 
     async def on_stop(self) -> None:
-        """Drains, then closes everything."""
+        """Drains the entry and stops the servers."""
         await drain(self.entry, self.site.stop)
         await self.runner.cleanup()
         if self.entry.background:
@@ -114,7 +125,7 @@
         logs.event("stopped", boot=self.entry.boot)
 
     async def on_shutdown(self) -> None:
-        """Closes the clients, once the controllers have ended."""
+        """Closes the clients after the controllers have ended."""
         await self.entry.targets.close()
         await self.entry.platform.close()
 
@@ -122,43 +133,44 @@
 async def drain(
     state: EntryState, stop_listening: Callable[[], Awaitable[None]]
 ) -> None:
-    """Waits until this instance may end without cutting a request.
+    """Waits until the entry can exit without interrupting a request.
 
-    The balancer goes on sending for a while after /ready fails; an instance
-    that refused or closed at once would cut those requests. After that it
-    takes no new connections: callers who come back all the time would keep it
-    from ever ending, until `drain_limit_s` cuts them. Requests on connections
-    that are open still run, each as its connection's last.
+    The load balancer keeps sending requests for a while after /ready fails, so
+    the entry keeps accepting connections for `drain_lag_s`. Then it stops
+    listening, since a steady flow of new connections would delay the exit.
+    Requests on open connections still run, each as the last of its connection.
+    Those that exceed `drain_limit_s` are interrupted.
 
     Args:
-        state: The entry's state.
-        stop_listening: Closes the callers' listening socket only.
+        state: State of the entry.
+        stop_listening: Closes the listening socket for callers and leaves
+            open connections alone.
     """
     loop = asyncio.get_running_loop()
     state.draining = True
     logs.event("draining", active=state.active)
-    own = state.settings.entry
-    end = loop.time() + own.drain_limit_s
-    await asyncio.sleep(own.drain_lag_s)
-    await _take_in()
+    entry_settings = state.settings.entry
+    deadline = loop.time() + entry_settings.drain_limit_s
+    await asyncio.sleep(entry_settings.drain_lag_s)
+    await _process_pending_input()
     await stop_listening()
     quiet_since = loop.time()
-    while loop.time() < min(end, quiet_since + _LINGER_S):
+    while loop.time() < min(deadline, quiet_since + _QUIET_S):
         await asyncio.sleep(_DRAIN_POLL_S)
-        await _take_in()
+        await _process_pending_input()
         if state.active:
             quiet_since = loop.time()
     if state.active:
         logs.event("drain_limit", level="ERROR", cut=state.active)
 
 
-async def _take_in() -> None:
-    """Lets the loop take in what has come over the network by now.
+async def _process_pending_input() -> None:
+    """Lets the event loop accept and read what has already arrived.
 
-    Closing a socket resets the connections that wait to be accepted and the
-    requests that wait to be read; their callers would see a cut.
+    Closing a socket resets connections that are not yet accepted and requests
+    that are not yet read.
     """
-    for _ in range(_TAKE_IN_TURNS):
+    for _ in range(_INPUT_LOOP_ITERATIONS):
         await asyncio.sleep(0)
 
 
@@ -181,12 +193,12 @@
 
 
 async def _repeat(
-    state: EntryState, name: str, step: Step, every_s: float
+    state: EntryState, name: str, step: Step, interval_s: float
 ) -> None:
-    """Runs a controller's step for ever; a failed step is tried again.
+    """Runs a controller's step periodically, also after a failed step.
 
-    A controller that ended with its first unforeseen error would leave the
-    entry serving with a configuration or list of members that never moves.
+    If an unexpected error ended a controller, the entry would keep serving with
+    an outdated configuration or list of members.
     """
     loop = asyncio.get_running_loop()
     while True:
@@ -196,29 +208,33 @@
             logs.event(
                 "step_failed", level="ERROR", controller=name, error=repr(error)
             )
-        await asyncio.sleep(every_s)
+        await asyncio.sleep(interval_s)
 
 
-async def start(own: options.EntrySettings) -> EntryService:
-    """Starts an entry on the running loop; stop it with `await x.stop()`."""
-    service = EntryService(own)
+async def start(entry_settings: options.EntrySettings) -> EntryService:
+    """Starts an entry on the running event loop; `stop()` ends it."""
+    service = EntryService(entry_settings)
     await service.start()
     return service
 
 
-async def _run(own: options.EntrySettings) -> None:
+async def _run(entry_settings: options.EntrySettings) -> None:
     stopping = running.stop_signal()
-    service = await start(own)
+    service = await start(entry_settings)
     print(f"ready listen={service.listen} peers={service.peers}", flush=True)
     await running.until_stopped(service, stopping)
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Runs the program."""
+    """Runs the daemon."""
     args = docopt.docopt(__doc__, argv)
-    own = settings.load_or_exit(args["--settings"], options.EntrySettings)
-    logs.setup(own.entry.log_level, instance=own.entry.instance)
-    asyncio.run(_run(own))
+    entry_settings = settings.load_or_exit(
+        args["--settings"], options.EntrySettings
+    )
+    logs.setup(
+        entry_settings.entry.log_level, instance=entry_settings.entry.instance
+    )
+    asyncio.run(_run(entry_settings))
 
 
 if __name__ == "__main__":
--- a/copperloom/daemons/held.py
+++ b/copperloom/daemons/held.py
@@ -1,4 +1,4 @@
-"""Signals that a process holds back until it can act on them."""
+"""The signals that are blocked until the program can handle them."""
 
 import signal
 
--- a/copperloom/daemons/http.py
+++ b/copperloom/daemons/http.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry: HTTP routes."""
+"""The HTTP routes of an entry."""
 
 import asyncio
 import time
@@ -15,19 +15,19 @@
 
 
 def make_app(state: EntryState) -> web.Application:
-    """Returns the application that serves callers and operators."""
+    """Builds the web application for callers and operators."""
     app = web.Application()
     app.add_routes(
         [
-            web.post("/v1/chat/completions", _through(state, chain.CHAT)),
+            web.post("/v1/chat/completions", _run_chain(state, chain.CHAT)),
             web.get("/v1/models", _models(state)),
             web.get(
-                "/v1/streams/{target}/{stream}", _through(state, chain.RESUME)
+                "/v1/streams/{target}/{stream}", _run_chain(state, chain.RESUME)
             ),
             web.route(
                 "*",
                 "/v1/services/{name}/{path:.*}",
-                _through(state, chain.SERVICE),
+                _run_chain(state, chain.SERVICE),
             ),
             web.get("/health", _health),
             web.get("/ready", _ready(state)),
@@ -38,15 +38,15 @@
     return app
 
 
-def _through(state: EntryState, filters: tuple[exchange.Filter, ...]):
-    """Returns a handler that passes requests through a chain."""
+def _run_chain(state: EntryState, filters: tuple[exchange.Filter, ...]):
+    """Returns a handler that runs requests through a chain of filters."""
 
     async def handle(http: web.Request) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
         ex = exchange.Exchange(state, http, now)
         await chain.run(filters, ex)
         if ex.response is None:
-            # The caller went away before anything was sent to it.
+            # The caller disconnected before a response was started.
             return web.Response(status=499)
         if state.draining and not ex.response.prepared:
             ex.response.headers["Connection"] = "close"
@@ -84,7 +84,8 @@
             return web.Response(status=503, text="no configuration\n")
         now = asyncio.get_running_loop().time()
         if not config.is_fresh(state, now):
-            # Callers are better served elsewhere until it may admit again.
+            # Requests would be rejected until the configuration is confirmed,
+            # so the load balancer should use other entries.
             return web.Response(status=503, text="configuration unproved\n")
         return web.Response(text="ready\n")
 
--- a/copperloom/daemons/metrics.py
+++ b/copperloom/daemons/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one entry."""
+"""The metrics of an entry."""
 
 import prometheus_client
 
@@ -31,18 +31,18 @@
 
 
 def length_class(prompt_tokens: int) -> str:
-    """Returns the name of a prompt's length class, for labels."""
-    for most, name in _LENGTH_CLASSES:
-        if prompt_tokens <= most:
+    """Returns the length class of a prompt, used as a metric label."""
+    for max_tokens, name in _LENGTH_CLASSES:
+        if prompt_tokens <= max_tokens:
             return name
     return "1m"
 
 
 class EntryMetrics:
-    """Counters and histograms, in a registry of their own.
+    """Counters, gauges and histograms of an entry.
 
-    A registry of its own lets several entries run in one process, as the demo
-    and the tests do.
+    They have their own registry, so that several entries can run in one
+    process.
     """
 
     def __init__(self):
--- a/copperloom/daemons/options.py
+++ b/copperloom/daemons/options.py
@@ -1,4 +1,4 @@
-"""Settings of `copperloom-entry`; see docs/CONFIGURATION.md."""
+"""Settings of `copperloom-entry`, described in docs/CONFIGURATION.md."""
 
 import dataclasses
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntrySection:
-    """Who this instance is and where it listens."""
+    """Identity and addresses of the entry, logging, and draining."""
 
     instance: str = setting("", "Unique name of the instance.", required=True)
     data_centre: str = setting("", "Data centre of the instance.")
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformSection:
-    """Where the platform's service is."""
+    """Connection to the platform's services."""
 
     address: str = setting("", "Its address.", unit="IP:port", required=True)
     protocol: str = setting(
@@ -84,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MembershipSection:
-    """How entries keep contact with each other."""
+    """Exchange of messages between entries and detection of failures."""
 
     exchange_s: float = setting(
         0.5, "Time between digests to a peer.", unit="s", low=0.05, high=10
@@ -118,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LimitsSection:
-    """Bounds on what callers may send and hold."""
+    """Limits on requests, answers and idempotency records."""
 
     body_bytes: int = setting(
         16_000_000, "Largest body.", unit="bytes", low=1000, high=1_000_000_000
@@ -170,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TargetsSection:
-    """How targets are watched."""
+    """Connections to targets, load reports and reservations."""
 
     protocol: str = setting(
         "http", "Protocol module to use.", choices=("http",)
@@ -207,7 +207,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DecisionsSection:
-    """How requests are placed; for experiments, not for operation."""
+    """Placement of requests; for experiments, not for production."""
 
     policy: str = setting(
         "copperloom",
--- a/copperloom/daemons/start.py
+++ b/copperloom/daemons/start.py
@@ -1,10 +1,10 @@
 """Starts copperloom-front: listens for callers first, then loads the program.
 
-Loading takes half a second of processor time. After many instances have died
-at once, all callers come back within that time, and a port where nobody
-listens yet turns them away: most have one more try and lose it. So the socket
-is bound and listens before anything large is imported, and connections wait in
-its queue until the program takes them over.
+Loading the program takes much longer than binding a socket. When many
+instances restart at once, callers reconnect before it is loaded and would use
+up their retries on refused connections. Therefore the socket listens before
+any large import, and connections wait in its backlog until the program accepts
+them.
 """
 
 import gc
@@ -19,20 +19,19 @@
 
 __all__ = ["listen", "main"]
 
-# Connections that wait while the program is loaded: after all of nine instances
-# were killed some hundred callers come back to each within a second.
+# Large enough for all callers to reconnect while the program is loaded.
 BACKLOG = 1024
 
 
 def listen(path: str) -> socket.socket | None:
-    """Listens for callers where the platform's settings say.
+    """Listens for callers at the address in the platform's settings.
 
     Args:
-        path: The settings file.
+        path: Path of the settings file.
 
     Returns:
-        The socket; None if the file can't be read, which the program itself
-        reports with a numbered error.
+        The listening socket, or None if the file is unreadable or malformed.
+        The program reports that error itself once it is loaded.
     """
     try:
         address = settings.load(path).callers_listen
@@ -43,12 +42,11 @@
 
 
 def _load():
-    """Imports the program, without work that it has no use for.
+    """Imports the program and skips work that it doesn't need.
 
-    What is imported stays for good, so the collector finds nothing in it. The
-    HTTP library reads the machine's file types and, twice, its certificate
-    authorities as it is imported; this program serves no files and speaks no
-    TLS.
+    Imported objects live until exit, so they are excluded from garbage
+    collection. On import the HTTP library loads the system's MIME types and
+    certificate authorities, but the program neither serves files nor uses TLS.
     """
     gc.disable()
     mimetypes.init(files=())
@@ -61,14 +59,14 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Runs the program; arguments are those of `copperloom.daemons.front`.
+    """Runs the program with the arguments of `copperloom.daemons.front`.
 
-    Signals that come while it is loaded wait for it: by default they would end
-    the process, and cut the callers whose connections wait.
+    Signals are blocked while the program is loaded, because their default
+    action would end the process and reset the connections in the backlog.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, held.SIGNALS)
-    callers = listen(os.environ.get(settings.ENVIRONMENT, ""))
-    _load().main(argv, callers=callers)
+    listener = listen(os.environ.get(settings.ENVIRONMENT, ""))
+    _load().main(argv, callers=listener)
 
 
 if __name__ == "__main__":
--- a/copperloom/daemons/state.py
+++ b/copperloom/daemons/state.py
@@ -1,4 +1,4 @@
-"""What one entry holds in memory, shared by its filters and controllers."""
+"""The in-memory state of an entry, shared by its filters and controllers."""
 
 import asyncio
 import collections
@@ -24,46 +24,49 @@
 __all__ = ["EntryState"]
 
 _BOOT_BYTES = 6
-_RECENT_CHANGES = 64
+_MAX_RECENT_CHANGES = 64
 
 
 class EntryState:
-    """The state of one entry; nothing of it outlives the process.
+    """The state of an entry, none of which outlives the process.
 
     Attributes:
-        settings: The checked settings.
-        boot: Random name of this run of the process.
-        owner: INSTANCE.BOOT, as engines know this entry.
-        platform: The platform's functions.
-        targets: The targets' functions.
-        sched: The decisions' state.
-        cfg: The configuration in force here.
-        cfg_loaded: Whether any configuration was ever adopted.
-        confirmed_at: Monotonic time up to which cfg is proved the newest.
-        recent_changes: The newest changes adopted, for peers that lag.
-        members: Peers by instance name, kept by the members controller.
-        membership: What the members controller keeps besides.
+        settings: Validated settings.
+        boot: Random id of this run of the process.
+        owner: INSTANCE.BOOT, the name of this entry at engines.
+        platform: Functions of the platform.
+        targets: Functions of the targets.
+        sched: State of the placement decisions.
+        cfg: Configuration in force at this entry.
+        cfg_loaded: Whether a configuration has been adopted.
+        confirmed_at: Latest monotonic time at which cfg was confirmed to be
+            the newest version.
+        recent_changes: Latest adopted changes, for peers with an older
+            version.
+        members: Other entries by instance name.
+        membership: Further state of the membership controller.
         peers_address: IP:port where this entry listens for peers.
-        target_drain: Signs that targets leave.
+        target_drain: Evidence that targets are draining.
         book: Reservations at the targets that this entry owns.
         held: Placements in flight with reservations, by request id.
-        releases: Reservations to give back, request ids by target.
-        leaving_targets: Target names to the monotonic time learnt.
-        draining: Whether this entry is stopping.
-        active: Requests in progress.
+        releases: Request ids of the reservations to release, by target.
+        leaving_targets: Draining targets, with the monotonic time at which
+            this entry learnt of it.
+        draining: Whether this entry is draining.
+        active: Number of requests in progress.
         waiting: Futures of queued requests, by request id.
-        batcher: Gathers row writes into transactions.
-        sweep: Where the sweep of old idempotency records stands.
+        batcher: Combines row writes into transactions.
+        sweep: Progress of the sweep of old idempotency records.
         background: Tasks that outlive their request; a stop waits for them.
         metrics: Counters and histograms of this entry.
-        wake: Set when the dispatcher has something to look at.
+        wake: Set when there is work for the dispatcher.
         rng: Source of jitter.
-        cancels: Cancels that engines have not confirmed.
-        orphans: Boots of other entries, to tell whose streams are left.
-        reports: Newest load report by target.
-        polling: Targets whose load report is asked for now.
-        polled_at: When each target's load report was last asked for.
-        orders: Orders given to engines, and the leases for them.
+        cancels: Cancellations that engines have not confirmed.
+        orphans: Boots of other entries, used to detect orphaned streams.
+        reports: Latest load report by target.
+        polling: Targets with a load poll in progress.
+        polled_at: Time of the latest load poll by target.
+        orders: Orders sent to engines, with their leases.
     """
 
     def __init__(
@@ -85,7 +88,7 @@
         self.cfg_loaded = False
         self.confirmed_at = float("-inf")
         self.recent_changes: collections.deque = collections.deque(
-            maxlen=_RECENT_CHANGES
+            maxlen=_MAX_RECENT_CHANGES
         )
         self.members: dict[str, member.Member] = {}
         self.membership = member.Membership(seed=self.owner)
@@ -115,5 +118,5 @@
         self._sequence = itertools.count(1)
 
     def next_id(self) -> str:
-        """Returns a name never used before, also not by an earlier boot."""
+        """Returns an id that is unique, also across restarts of the entry."""
         return f"{self.owner}.{next(self._sequence)}"
--- a/copperloom/daemons/tests/test_admin.py
+++ b/copperloom/daemons/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls to an entry."""
+"""Tests of the HTTP API for operators and of the readiness check."""
 
 import time
 import unittest
@@ -36,30 +36,29 @@
         body = {"operator": "olga", "puts": puts, **values}
         return await self.call("POST", "changes", json=body)
 
-    async def test_wrong_token_is_refused(self):
+    async def test_wrong_token_is_rejected(self):
         status, body = await self.call("GET", "config", token="other")
         self.assertEqual((status, body["code"]), (403, 2004))
 
-    async def test_no_token_set_turns_the_calls_off(self):
+    async def test_calls_are_rejected_if_no_token_is_configured(self):
         entry = fixtures.entry_state(self, self.standin.address)
         object.__setattr__(entry.settings.entry, "operator_token_sha256", "")
         self.entry.settings = entry.settings
         status, _ = await self.call("GET", "config", token="")
         self.assertEqual(status, 403)
 
-    async def test_entry_that_knows_nobody_accepts_no_change(self):
-        """An operator asks an entry that has just started and is cut off.
+    async def test_entry_that_knows_no_member_rejects_changes(self):
+        """An entry starts while it is isolated from the other members.
 
-        It knows no member yet. Taking itself for the whole fleet, it would
-        accept the change and say that it is in force everywhere, while the
-        others go on without it.
+        Guards against reporting a change as in force everywhere because the
+        entry mistakes itself for the whole fleet.
         """
         self.entry.membership.listed_self = False
         status, body = await self.put(fixtures.target("t"))
         self.assertEqual((status, body["code"]), (503, 5006), body)
         self.assertEqual(self.entry.cfg.version, 0)
 
-    async def test_change_is_in_force_when_it_answers(self):
+    async def test_change_is_in_force_when_the_call_returns(self):
         status, body = await self.put(fixtures.target("t"))
         self.assertEqual(status, 200, body)
         self.assertEqual(
@@ -72,18 +71,18 @@
         _, status = await self.call("GET", "status")
         self.assertEqual(status["version"], 1)
 
-    async def test_lost_race_names_the_winner(self):
+    async def test_conflicting_change_is_rejected_with_the_winner(self):
         await self.put(fixtures.target("t"), seen_version=0)
         status, body = await self.put(fixtures.target("u"), seen_version=0)
         self.assertEqual((status, body["code"]), (409, 5004))
         self.assertIn("version 1 by olga", body["error"])
 
-    async def test_bad_bodies_change_nothing(self):
+    async def test_malformed_body_is_rejected(self):
         for body in (b"{", b'{"puts": 3}', b'{"operator": "o"}'):
             status, answer = await self.call("POST", "changes", data=body)
             self.assertEqual((status, answer["code"]), (400, 2001))
 
-    async def test_drain(self):
+    async def test_drain_call_drains_the_entry(self):
         await self.call("POST", "drain")
         self.assertTrue(self.entry.draining)
 
@@ -101,7 +100,7 @@
     async def ready(self):
         return (await self.client.get("/ready")).status
 
-    async def test_ready_only_if_work_would_be_admitted(self):
+    async def test_entry_is_ready_only_if_it_admits_requests(self):
         self.assertEqual(await self.ready(), 503)
         config.adopt(self.entry, configuration.Configuration(version=1), 0.0)
         self.entry.members["b"] = member.Member("b", "127.0.0.1:1")
--- a/copperloom/daemons/tests/test_start.py
+++ b/copperloom/daemons/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A process that starts takes connections before it is loaded."""
+"""Tests that a starting process accepts connections before it is loaded."""
 
 import asyncio
 import json
@@ -17,18 +17,18 @@
 _REQUEST = (
     "POST {path} HTTP/1.1\r\n{headers}\r\nContent-Length: 1\r\n\r\nx"
 ).format
-_LIMIT_S = 15.0
+_TIMEOUT_S = 15.0
 _POLL_S = 0.002
-_SOON_S = 0.05
+_DELAY_S = 0.05
 
 
-def _send(writer: asyncio.StreamWriter, path: str) -> None:
+def _write_request(writer: asyncio.StreamWriter, path: str) -> None:
     headers = wire.caller_headers(fixtures.HOST, "q", fixtures.KEY, 9.0)
     lines = "\r\n".join(f"{k}: {v}" for k, v in headers.items())
     writer.write(_REQUEST(path=path, headers=lines).encode())
 
 
-def _end(process) -> None:
+def _terminate(process) -> None:
     if process.returncode is None:
         process.terminate()
 
@@ -47,7 +47,7 @@
         )
         self.path.write_text(json.dumps(document))
 
-    async def _start(self):
+    async def _start_process(self):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -57,73 +57,70 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         self.addAsyncCleanup(process.wait)
-        self.addCleanup(_end, process)
+        self.addCleanup(_terminate, process)
         return process
 
-    async def _ask(self, path: str) -> asyncio.StreamReader:
-        """Sends a request on a connection of its own."""
+    async def _send_request(self, path: str) -> asyncio.StreamReader:
+        """Sends a request on a new connection."""
         reader, writer = await self._connect()
         self.addCleanup(writer.close)
-        _send(writer, path)
+        _write_request(writer, path)
         return reader
 
-    async def test_caller_that_comes_during_the_start_is_served(self):
-        """All instances were killed and a caller comes back at once.
+    async def test_caller_that_connects_during_startup_is_served(self):
+        """A caller reconnects while the program is still being loaded.
 
-        The process has been started but takes half a second to load. The
-        caller's connection waits for it and its request is answered; it is
-        not turned away by a port where nobody listens.
+        Guards against refused connections during the startup.
         """
-        process = await self._start()
+        process = await self._start_process()
         first_line = asyncio.ensure_future(process.stdout.readline())
-        async with asyncio.timeout(_LIMIT_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             reader, writer = await self._connect()
             self.addCleanup(writer.close)
-            # Nothing is logged before the program is loaded; once it listens by
-            # itself its first line follows within some milliseconds.
-            await asyncio.sleep(_SOON_S)
+            # The program logs a line once it is loaded. There is none yet, so
+            # the connection was accepted during the startup.
+            await asyncio.sleep(_DELAY_S)
             self.assertFalse(first_line.done())
-            _send(writer, "/write/x")
+            _write_request(writer, "/write/x")
             status = await reader.readline()
         self.assertIn(b" 200 ", status)
         self.assertIn(b"event=started", await first_line)
 
-    async def test_settings_that_change_during_the_start(self):
-        """An instance starts again and its settings file changes meanwhile.
+    async def test_reload_signal_during_startup_is_deferred(self):
+        """The settings file changes while the program is being loaded.
 
-        The signal comes before the program can act on it. By default it ends
-        the process: the connections that wait would be cut.
+        Guards against the default action of SIGHUP, which would end the process
+        and reset the waiting connections.
         """
-        process = await self._start()
-        async with asyncio.timeout(_LIMIT_S):
-            reader = await self._ask("/write/x")
+        process = await self._start_process()
+        async with asyncio.timeout(_TIMEOUT_S):
+            reader = await self._send_request("/write/x")
             for _ in range(5):
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(_SOON_S)
+                await asyncio.sleep(_DELAY_S)
             status = await reader.readline()
         self.assertIn(b" 200 ", status)
         self.assertIsNone(process.returncode)
 
-    async def test_settings_that_change_again_and_again(self):
-        """The settings file changes in series while a guest is admitted.
+    async def test_repeated_reload_does_not_disturb_a_request(self):
+        """The settings file changes repeatedly during a slow request.
 
-        The call runs for half a second. It must neither be cut nor wait nor
-        go to a target twice, and others beside it are answered as ever.
+        Guards against a reload that interrupts, delays or repeats the request.
         """
         target = self.system.targets["plain-0"]
-        process = await self._start()
-        async with asyncio.timeout(_LIMIT_S):
-            reader = await self._ask("/write/first")
+        process = await self._start_process()
+        async with asyncio.timeout(_TIMEOUT_S):
+            reader = await self._send_request("/write/first")
             self.assertIn(b" 200 ", await reader.readline())
             target.pause_s = 0.5
-            reader = await self._ask("/write/slow")
-            begun = asyncio.get_running_loop().time()
+            reader = await self._send_request("/write/slow")
+            started_at = asyncio.get_running_loop().time()
             for _ in range(20):
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(_SOON_S / 5)
+                await asyncio.sleep(_DELAY_S / 5)
             self.assertIn(b" 200 ", await reader.readline())
-            took = asyncio.get_running_loop().time() - begun
-        self.assertLess(took, 2.0)
+            duration_s = asyncio.get_running_loop().time() - started_at
+        self.assertLess(duration_s, 2.0)
         runs = [seen for seen in target.seen if "/write/slow" in str(seen)]
         self.assertEqual(len(runs), 1)
 
@@ -136,10 +133,10 @@
 
 
 class ListenTest(unittest.TestCase):
-    def test_unreadable_settings_are_left_to_the_program(self):
+    def test_unreadable_settings_yield_no_socket(self):
         self.assertIsNone(start.listen("/nowhere/settings.json"))
 
-    def test_socket_listens_where_callers_connect(self):
+    def test_socket_listens_at_the_address_for_callers(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "settings.json"
             ports = tuple(fixtures.free_port() for _ in range(3))
