--- a/copperloom/cli/__init__.py
+++ b/copperloom/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command `copperloom` for operators."""
--- a/copperloom/cli/edits.py
+++ b/copperloom/cli/edits.py
@@ -1,4 +1,4 @@
-"""Turns the operators' arguments into a change."""
+"""Builds configuration changes from command-line arguments."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 
 from copperloom import configuration, exception
 
-__all__ = ["Asked", "delete", "put", "require", "select", "switch"]
+__all__ = ["ChangeRequest", "delete", "put", "require", "select", "switch"]
 
 _CLASSES = {
     "deployment": configuration.Deployment,
@@ -14,22 +14,23 @@
     "target": configuration.Target,
     "preset": configuration.Preset,
 }
-# Set by the entry that makes the change.
+# Set by the entry that applies the change.
 _NOT_SETTABLE = ("name", "admitted_version")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
-    """A change as an entry is asked for it.
+class ChangeRequest:
+    """The request of a change, as sent to an entry.
 
     Attributes:
-        operator: Who asks.
-        note: Why.
-        seen_version: The version that it builds on.
-        nonce: Names the change, so that it may be sent to several entries.
-        wait_s: Longest wait until it is in force.
-        puts: Entities to put, by key.
-        deletes: Keys to delete.
+        operator: Name of the operator.
+        note: Reason for the change.
+        seen_version: Version that the change is based on.
+        nonce: Random id of the change, which makes it safe to send to several
+            entries.
+        wait_s: Maximum time to wait until the change is in force, in seconds.
+        puts: (key, value) of entities to add or replace.
+        deletes: Keys of entities to delete.
     """
 
     operator: str
@@ -42,29 +43,39 @@
 
 
 def select(cfg: dict, kind: str) -> dict:
-    """Returns the entities of a kind, with the version and the preset."""
-    found = [value for key, value in cfg["entities"] if _is(key, kind)]
+    """Returns the entities of a kind with the version and active preset."""
+    entities = [value for key, value in cfg["entities"] if _is_kind(key, kind)]
     return {
         "version": cfg["version"],
         "preset": cfg["preset"],
         "kind": kind,
-        "entities": found,
+        "entities": entities,
     }
 
 
 def require(cfg: dict, kind: str, name: str) -> None:
-    """Raises SettingsError unless the entity is there."""
+    """Raises SettingsError unless the entity exists."""
     if f"{kind}/{name}" not in dict(cfg["entities"]):
-        raise exception.SettingsError(f"no {kind} {name}")
+        raise exception.SettingsError(f"no {kind} named {name}")
 
 
 def put(
-    asked: Asked, cfg: dict, kind: str, name: str, pairs: list[str]
-) -> Asked:
-    """Puts an entity: what it was, with the pairs given on top.
+    request: ChangeRequest, cfg: dict, kind: str, name: str, pairs: list[str]
+) -> ChangeRequest:
+    """Adds a put of an entity to a change.
+
+    Existing values of the entity are kept unless a pair replaces them.
+
+    Args:
+        request: The change.
+        cfg: The configuration in force, as returned by an entry.
+        kind: Kind of the entity.
+        name: Name of the entity.
+        pairs: KEY=VALUE of the fields to set.
 
     Raises:
-        copperloom.exception.SettingsError: A pair is wrong.
+        copperloom.exception.SettingsError: A pair has an unknown key or an
+            invalid value.
     """
     key = f"{kind}/{name}"
     value = dict(cfg["entities"]).get(key, {"name": name})
@@ -74,21 +85,21 @@
     except msgspec.ValidationError as error:
         raise exception.SettingsError(f"{key}: {error}") from error
     pair = configuration.encode_entity(entity)
-    return dataclasses.replace(asked, puts=(pair,))
+    return dataclasses.replace(request, puts=(pair,))
 
 
-def delete(asked: Asked, kind: str, name: str) -> Asked:
-    """Deletes an entity."""
-    return dataclasses.replace(asked, deletes=(f"{kind}/{name}",))
+def delete(request: ChangeRequest, kind: str, name: str) -> ChangeRequest:
+    """Adds the deletion of an entity to a change."""
+    return dataclasses.replace(request, deletes=(f"{kind}/{name}",))
 
 
-def switch(asked: Asked, preset: str) -> Asked:
-    """Puts a preset in force."""
+def switch(request: ChangeRequest, preset: str) -> ChangeRequest:
+    """Adds the activation of a preset to a change."""
     pair = configuration.encode_entity(configuration.PresetInForce(preset))
-    return dataclasses.replace(asked, puts=(pair,))
+    return dataclasses.replace(request, puts=(pair,))
 
 
-def _is(key: str, kind: str) -> bool:
+def _is_kind(key: str, kind: str) -> bool:
     return key.partition("/")[0] == kind
 
 
@@ -100,7 +111,7 @@
         if not equals or name not in fields or name in _NOT_SETTABLE:
             known = ", ".join(n for n in fields if n not in _NOT_SETTABLE)
             raise exception.SettingsError(
-                f"{pair!r}: a {kind} has KEY=VALUE with {known}"
+                f"{pair!r}: expected KEY=VALUE, {kind} keys are {known}"
             )
         values[name] = _value(fields[name], text)
     return values
--- a/copperloom/cli/entries.py
+++ b/copperloom/cli/entries.py
@@ -1,4 +1,4 @@
-"""Calls to entries: the next one is asked if one can't answer."""
+"""Calls to entries, with failover from one entry to the next."""
 
 import contextlib
 import dataclasses
@@ -12,11 +12,12 @@
 __all__ = ["Client", "change", "drain", "get", "open_client"]
 
 _TIMEOUT_S = 10.0
-# A change may take 10 s at the platform, then the wait until it is in force.
-_CHANGE_S = 15.0
+# Covers the write to the platform; the wait until the change is in force is
+# added.
+_CHANGE_TIMEOUT_S = 15.0
 _OK = 200
-# Answers that another entry may not give: it reaches the platform or more of
-# the others, or can find out whose change was made.
+# Errors that another entry may avoid, because it reaches the platform or more
+# members, or can determine whether a change was applied.
 _TRY_NEXT = frozenset(
     cls.code
     for cls in (
@@ -37,7 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Client:
-    """Where to call and with which token."""
+    """A client of some entries.
+
+    Attributes:
+        session: HTTP session that sends the operator token.
+        addresses: IP:port of the entries, in the order in which to try them.
+    """
 
     session: aiohttp.ClientSession
     addresses: tuple[str, ...]
@@ -45,77 +51,77 @@
 
 @contextlib.asynccontextmanager
 async def open_client(addresses: list[str], token: str):
-    """Opens a client of some entries."""
+    """Opens a client of the entries at some addresses."""
     headers = {"Authorization": f"Bearer {token}"}
     async with aiohttp.ClientSession(headers=headers) as session:
         yield Client(session, tuple(addresses))
 
 
 async def get(client: Client, path: str) -> dict:
-    """Reads from the first entry that answers."""
-    return await _first(client, "GET", path, None, _TIMEOUT_S)
+    """Reads a path from the first entry that responds."""
+    return await _call_in_turn(client, "GET", path, None, _TIMEOUT_S)
 
 
 async def drain(client: Client) -> dict:
-    """Drains the one entry given."""
+    """Drains the entry of a client that has exactly one."""
     if len(client.addresses) != 1:
-        raise exception.SettingsError("drain takes just one --entry")
-    return await _first(client, "POST", "drain", None, _TIMEOUT_S)
+        raise exception.SettingsError("drain requires exactly one --entry")
+    return await _call_in_turn(client, "POST", "drain", None, _TIMEOUT_S)
 
 
-async def change(client: Client, asked: edits.Asked) -> dict:
-    """Makes a change through the first entry that can.
+async def change(client: Client, request: edits.ChangeRequest) -> dict:
+    """Applies a change through the first entry that can.
 
-    An entry that dies or loses the answer leaves the outcome open; the next
-    one gets the same nonce on the same version, and so either makes the
-    change or finds that it was made.
+    If an entry fails during the call, the outcome is unknown. The next entry
+    receives the same nonce and version, so it either applies the change or
+    detects that it was applied.
     """
-    body = msgspec.json.encode(asked)
-    limit_s = _CHANGE_S + asked.wait_s
-    return await _first(client, "POST", "changes", body, limit_s)
+    body = msgspec.json.encode(request)
+    timeout_s = _CHANGE_TIMEOUT_S + request.wait_s
+    return await _call_in_turn(client, "POST", "changes", body, timeout_s)
 
 
-async def _first(client, method, path, body, limit_s) -> dict:
-    """Asks one entry after the other.
+async def _call_in_turn(client, method, path, body, timeout_s) -> dict:
+    """Calls the entries in turn until one gives a final response.
 
     Raises:
         copperloom.exception.ChangeUnknownError: A change was sent, and no
-            entry could tell what became of it.
-        copperloom.exception.CopperloomError: As the entry said.
+            entry could determine whether it was applied.
+        copperloom.exception.CopperloomError: The error of an entry.
     """
-    unknown = None
-    failed = None
+    unknown_outcome = None
+    last_error = None
     for address in client.addresses:
         try:
-            return await _ask(client, address, method, path, body, limit_s)
+            return await _call(client, address, method, path, body, timeout_s)
         except exception.CopperloomError as error:
             if error.code not in _TRY_NEXT:
-                _raise(error, unknown)
-            failed = error
+                _raise_final(error, unknown_outcome)
+            last_error = error
             if error.run is exception.Run.MAY_HAVE_RUN:
-                unknown = error
-    # One entry's word that nothing was done says nothing of what an earlier
-    # one may have done.
-    raise unknown or failed
+                unknown_outcome = error
+    # A failure without effect at one entry doesn't settle what an earlier
+    # entry may have done.
+    raise unknown_outcome or last_error
 
 
-def _raise(error: exception.CopperloomError, unknown) -> None:
-    """Raises a final answer, unless an earlier one left more open.
+def _raise_final(error: exception.CopperloomError, unknown_outcome) -> None:
+    """Raises a final error, unless an earlier outcome is still unknown.
 
-    A lost race settles what an earlier entry may have done; that this entry
-    refuses the token, for example, does not.
+    A lost race settles the outcome of an earlier call. Other errors, such as a
+    rejected token, do not.
     """
-    if unknown is None or isinstance(error, exception.ChangeLostError):
+    if unknown_outcome is None or isinstance(error, exception.ChangeLostError):
         raise error
-    raise unknown
+    raise unknown_outcome
 
 
-async def _ask(client, address, method, path, body, limit_s) -> dict:
+async def _call(client, address, method, path, body, timeout_s) -> dict:
     url = f"http://{address}/admin/v1/{path}"
-    limit = aiohttp.ClientTimeout(total=limit_s, sock_connect=_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=_TIMEOUT_S)
     try:
         async with client.session.request(
-            method, url, data=body, timeout=limit
+            method, url, data=body, timeout=timeout
         ) as reply:
             raw = await reply.read()
     except (
@@ -125,7 +131,7 @@
     ) as error:
         raise exception.PlatformDownError(f"{address}: {error}") from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        text = f"{address}: {type(error).__name__}, no answer"
+        text = f"{address}: {type(error).__name__}, no response"
         if body is None:
             raise exception.PlatformDownError(text) from error
         raise exception.ChangeUnknownError(text) from error
--- a/copperloom/cli/fronts.py
+++ b/copperloom/cli/fronts.py
@@ -1,4 +1,4 @@
-"""Questions to `copperloom-front` on its internal port."""
+"""Queries to `copperloom-front` on its metrics address."""
 
 import urllib.parse
 
@@ -9,22 +9,27 @@
 
 __all__ = ["ask", "explained", "status"]
 
-_LIMIT_S = 3.0
+_TIMEOUT_S = 3.0
 _OK = 200
 
 
 async def ask(address: str, call: str, /, **query: str) -> dict:
-    """Asks an instance.
+    """Sends a query to an instance and returns its response.
+
+    Args:
+        address: IP:port of the instance's metrics.
+        call: Name of the query.
+        **query: Parameters of the query.
 
     Raises:
-        copperloom.exception.PeerUnavailableError: It gave no answer.
+        copperloom.exception.PeerUnavailableError: The query failed.
     """
     text = urllib.parse.urlencode(query)
     url = f"http://{address}/{call}?{text}"
-    limit = aiohttp.ClientTimeout(total=_LIMIT_S)
+    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     try:
         async with (
-            aiohttp.ClientSession(timeout=limit) as session,
+            aiohttp.ClientSession(timeout=timeout) as session,
             session.get(url) as resp,
         ):
             raw = await resp.read()
@@ -36,29 +41,31 @@
 
 
 def status(answer: dict) -> str:
-    """Tells an instance's state for people."""
+    """Formats the status of an instance."""
     routes, targets = answer["routes"], answer["targets"]
     lines = [
         f"{answer['instance']} in {answer['data_centre']}, "
         f"{answer['active']} requests in progress"
         + (", draining" if answer["draining"] else ""),
-        f"routes: version {routes['version']}, {routes['count']} of them, "
+        f"routes: version {routes['version']}, {routes['count']} routes, "
         f"adopted {routes['age_s']} s ago",
         f"targets: version {targets['version']}, changed "
         f"{targets['age_s']} s ago",
     ]
     for service, counts in sorted(targets["by_service"].items()):
-        left = answer["repeats_left"].get(service)
-        tail = "" if left is None else f", {left:.0f} repeats left"
-        said = ", ".join(f"{n} {word}" for word, n in counts.items())
-        lines.append(f"  {service}: {said}{tail}")
+        retries_left = answer["repeats_left"].get(service)
+        tail = (
+            "" if retries_left is None else f", {retries_left:.0f} retries left"
+        )
+        counts_text = ", ".join(f"{n} {state}" for state, n in counts.items())
+        lines.append(f"  {service}: {counts_text}{tail}")
     if answer["lost_tables"]:
-        lost = ", ".join(answer["lost_tables"])
-        lines.append(f"the platform does not give: {lost}")
+        unreachable = ", ".join(answer["lost_tables"])
+        lines.append(f"unreachable tables: {unreachable}")
     for member in answer["members"]:
-        flags = [w for w in ("leaving", "store_lost") if member[w]]
+        flags = [flag for flag in ("leaving", "store_lost") if member[flag]]
         lines.append(
-            f"  {member['instance']} in {member['data_centre']}: heard "
+            f"  {member['instance']} in {member['data_centre']}: last message "
             f"{member['heard_s']} s ago, routes {member['routes_version']}, "
             f"targets {member['targets_version']} {' '.join(flags)}".rstrip()
         )
@@ -66,8 +73,8 @@
 
 
 def explained(answer: dict) -> str:
-    """Tells for people which way a request would go."""
-    lines = [f"by routes version {answer['routes_version']}"]
+    """Formats how an instance would route a request."""
+    lines = [f"according to routes version {answer['routes_version']}"]
     route = answer.get("route")
     if route:
         lines.append(
--- a/copperloom/cli/losses.py
+++ b/copperloom/cli/losses.py
@@ -1,10 +1,10 @@
-"""Where a day's worth was lost: by reason, from the logs of all instances.
+"""Breaks down lost worth by reason, from the logs of all instances.
 
-What a request is worth is taken as placement takes it. A request that came late
-loses `harm.LATE_LOSS` of it, any other that was not served in full all of it.
-Requests that no instance has seen (nobody listened, or the instance died before
-it had read them) are in no log; with the platform's report they are what the
-logs leave unexplained.
+The worth of a request is the same as in placement decisions. A request that
+misses its latency objective loses the share `interference.LATE_LOSS` of its
+worth; a request that is not served in full loses all of it. Requests that no
+instance received are in no log. With the platform's report, their share appears
+as the loss that the logs don't explain.
 """
 
 import collections
@@ -17,19 +17,19 @@
 
 __all__ = ["Loss", "find", "table"]
 
-_REFUSALS = {"401", "403", "404"}
-_DIED = "its instance died"
+_REJECTED_STATUSES = {"401", "403", "404"}
+_INSTANCE_DIED = "its instance died"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """What requests of one length lost for one reason.
+    """The loss of requests of one length class for one reason.
 
     Attributes:
-        length: Word for their prompts' length.
-        reason: Why.
-        requests: How many.
-        share: Share of the worth of all requests in the logs.
+        length: Length class of the prompts.
+        reason: Reason for the loss.
+        requests: Number of requests.
+        share: Lost worth as a share of the worth of all requests in the logs.
     """
 
     length: str
@@ -39,91 +39,97 @@
 
 
 def find(lines: list[trace.Line]) -> list[Loss]:
-    """Lists what was lost, the largest first."""
-    placed = _last(lines, "placed")
-    ended = _last(lines, "outcome")
-    lost: collections.Counter = collections.Counter()
+    """Returns the losses in the logs, the largest first."""
+    placed = _last_lines(lines, "placed")
+    ended = _last_lines(lines, "outcome")
+    lost_worth: collections.Counter = collections.Counter()
     count: collections.Counter = collections.Counter()
     total = 0.0
     for request, line in ended.items():
-        if line.pairs["status"] in _REFUSALS:
-            # Nobody was owed an answer.
+        if line.fields["status"] in _REJECTED_STATUSES:
+            # Correctly rejected, so nothing was lost.
             continue
         worth = plans.worth(_tokens(line))
         total += worth
         reason, share = _reason(line, placed.get(request))
         if reason:
             key = (metrics.prompt_length(_tokens(line)), reason)
-            lost[key] += share * worth
+            lost_worth[key] += share * worth
             count[key] += 1
     for request, line in placed.items():
         if request not in ended:
-            key = (metrics.prompt_length(_tokens(line)), _DIED)
+            key = (metrics.prompt_length(_tokens(line)), _INSTANCE_DIED)
             worth = plans.worth(_tokens(line))
             total += worth
-            lost[key] += worth
+            lost_worth[key] += worth
             count[key] += 1
     return [
         Loss(*key, count[key], worth / total)
-        for key, worth in lost.most_common()
+        for key, worth in lost_worth.most_common()
     ]
 
 
-def table(losses: list[Loss], told: report.Report | None = None) -> str:
-    """Returns the table; with a report it adds up to what is missing to 1."""
+def table(losses: list[Loss], day_report: report.Report | None = None) -> str:
+    """Formats losses as a table, with a report also the rest of the score."""
     rows = [f"{'share':>7} {'requests':>8}  prompts  reason"]
     rows += [
         f"{loss.share:7.4f} {loss.requests:8d}  {loss.length:7}  {loss.reason}"
         for loss in losses
     ]
-    if told is None:
+    if day_report is None:
         return "\n".join(rows)
-    whole = 1.0 - told.parts[0].earned
-    seen = sum(loss.share for loss in losses)
+    missing = 1.0 - day_report.parts[0].earned
+    explained = sum(loss.share for loss in losses)
     rows.append(
-        f"{whole - seen:7.4f} {'':8}  {'':7}  in no log, or by weighing"
+        f"{missing - explained:7.4f} {'':8}  {'':7}  in no log, or by weighting"
+    )
+    rows.append(
+        f"{missing:7.4f} {'':8}  {'':7}  {day_report.parts[0].name}, in total"
     )
-    rows.append(f"{whole:7.4f} {'':8}  {'':7}  {told.parts[0].name}, in all")
     rows.append("")
     rows += [
         f"{part.missing:7.4f}  {part.name} ({part.weight:g} x "
         f"{1.0 - part.earned:.4f})"
-        for part in told.parts
+        for part in day_report.parts
     ]
     rows += [
-        f"{taken:7.4f}  price: {name}"
-        for name, taken in sorted(told.deductions.items(), key=lambda p: -p[1])
+        f"{amount:7.4f}  price: {name}"
+        for name, amount in sorted(
+            day_report.deductions.items(), key=lambda p: -p[1]
+        )
     ]
-    rows.append(f"{1.0 - told.worth:7.4f}  missing to 1")
+    rows.append(f"{1.0 - day_report.worth:7.4f}  missing to 1")
     return "\n".join(rows)
 
 
-def _last(lines: list[trace.Line], event: str) -> dict[str, trace.Line]:
-    """Returns each request's last line of an event."""
-    return {x.pairs["request"]: x for x in lines if x.event == event}
+def _last_lines(lines: list[trace.Line], event: str) -> dict[str, trace.Line]:
+    """Returns the last line of an event by request."""
+    return {x.fields["request"]: x for x in lines if x.event == event}
 
 
 def _tokens(line: trace.Line) -> int:
-    return int(line.pairs.get("prompt_tokens", "0"))
+    return int(line.fields.get("prompt_tokens", "0"))
 
 
 def _reason(line: trace.Line, placed: trace.Line | None) -> tuple[str, float]:
-    """Says why a request lost, and which share of its worth; "" if nothing."""
-    said = line.pairs
-    again = ", sent again" if int(said["sends"]) > 1 else ""
-    if said["outcome"] == "caller_gone":
+    """Returns the reason and share of a request's loss; "" and 0 if none."""
+    fields = line.fields
+    retried_text = ", sent again" if int(fields["sends"]) > 1 else ""
+    if fields["outcome"] == "caller_gone":
         return "its caller left", 1.0
-    if said["outcome"] != "answered":
-        return f"{said['status']} {said['outcome']}{again}", 1.0
-    if said["status"] >= "400":
-        return f"{said['status']} of its target{again}", 1.0
-    late = said.get("late", "")
-    if late == "first" and not again:
-        aim_s = float(said["aim_s"])
-        ahead = placed and float(placed.pairs["predicted_s"]) > aim_s
-        late = "first event, foreseen" if ahead else "first event, unforeseen"
+    if fields["outcome"] != "answered":
+        return f"{fields['status']} {fields['outcome']}{retried_text}", 1.0
+    if fields["status"] >= "400":
+        return f"{fields['status']} of its target{retried_text}", 1.0
+    late = fields.get("late", "")
+    if late == "first" and not retried_text:
+        objective_s = float(fields["aim_s"])
+        foreseen = placed and float(placed.fields["predicted_s"]) > objective_s
+        late = (
+            "first event, foreseen" if foreseen else "first event, unforeseen"
+        )
     return (
-        (f"late by its {late}{again}", interference.LATE_LOSS)
+        (f"late by its {late}{retried_text}", interference.LATE_LOSS)
         if late
         else ("", 0.0)
     )
--- a/copperloom/cli/operator.py
+++ b/copperloom/cli/operator.py
@@ -1,4 +1,4 @@
-"""copperloom: the operators' command.
+"""copperloom: the command for operators.
 
 Usage:
   copperloom [options] [--entry ADDRESS]... (deployment | organisation | target | preset) put NAME [KEY=VALUE]...
@@ -30,16 +30,16 @@
   --program PROGRAM  Whose settings a file holds [default: entry].
   --json             Print one JSON document.
 
-`front` asks an instance on the users' platform, at its metrics address: what it
-goes by, or which way a request would go. `trace` puts the lines of one request
-from the logs of many instances in order and says what decided it. `losses` adds
-up, from the same logs, which requests lost worth and for what reason.
+`front` queries an instance of copperloom-front at its metrics address: its
+status, or how it would route a request. `trace` shows the log lines of one
+request from the logs of any number of instances and explains its outcome.
+`losses` adds up, from the same logs, the worth that requests lost, by reason.
 
-A put of something that exists changes the keys given and keeps the others.
+`put` of an existing entity changes the given keys and keeps the others.
 
-Exit status: 0 done, and in force everywhere; 1 not done, nothing was changed;
-2 wrong arguments or settings; 3 the outcome is not known, or a change is made
-but not in force everywhere yet.
+Exit status: 0 success, a change is in force everywhere; 1 failure, nothing was
+changed; 2 invalid arguments or settings; 3 the outcome is unknown, or a change
+was applied but is not in force everywhere yet.
 """  # noqa: E501
 
 import asyncio
@@ -71,7 +71,7 @@
 USAGE = 2
 UNKNOWN = 3
 _KINDS = ("deployment", "organisation", "target", "preset")
-# Codes that leave open whether a change was made.
+# Codes of errors after which it is unknown whether a change was applied.
 _UNKNOWN_CODES = (
     exception.ChangeUnknownError.code,
     exception.PlatformUnknownError.code,
@@ -94,7 +94,7 @@
             return _losses(args)
         if args["front"]:
             return asyncio.run(_front(args))
-        return asyncio.run(_call(args))
+        return asyncio.run(_call_entries(args))
     except exception.SettingsError as error:
         return _fail(args, error, USAGE)
     except exception.CopperloomError as error:
@@ -116,7 +116,7 @@
 def _config(args) -> int:
     if args["check"]:
         settings.load(args["FILE"], programs.find(args["--program"]))
-        print(f"{args['FILE']}: good settings of {args['--program']}")
+        print(f"{args['FILE']}: valid settings of {args['--program']}")
     else:
         print(settings.explain(programs.find(args["PROGRAM"] or "entry")))
     return DONE
@@ -125,22 +125,22 @@
 def _trace(args) -> int:
     lines = trace.find(trace.read(args["LOG"]), args["ID"])
     if not lines:
-        print(f"no line of request {args['ID']}", file=sys.stderr)
+        print(f"no log line of request {args['ID']}", file=sys.stderr)
         return NOT_DONE
-    decided = trace.verdict(lines)
-    answer = {"lines": [line.text for line in lines], "decided_by": decided}
-    _print(args, answer, _traced)
+    explanation = trace.explain(lines)
+    answer = {"lines": [line.text for line in lines], "decided_by": explanation}
+    _print(args, answer, _format_trace)
     return DONE
 
 
 def _losses(args) -> int:
     found = losses.find(trace.read(args["LOG"]))
-    told = report.load(args["--report"]) if args["--report"] else None
-    _print(args, found, lambda rows: losses.table(rows, told))
+    day_report = report.load(args["--report"]) if args["--report"] else None
+    _print(args, found, lambda rows: losses.table(rows, day_report))
     return DONE
 
 
-def _traced(answer: dict) -> str:
+def _format_trace(answer: dict) -> str:
     return "\n".join([*answer["lines"], "", answer["decided_by"]])
 
 
@@ -160,7 +160,7 @@
     return DONE
 
 
-async def _call(args) -> int:
+async def _call_entries(args) -> int:
     async with entries.open_client(_addresses(args), _token(args)) as client:
         if args["status"]:
             answer = await entries.get(client, "status")
@@ -176,53 +176,57 @@
             return DONE
         if args["list"]:
             answer = await entries.get(client, "config")
-            _print(args, edits.select(answer, _kind(args)), show.entities)
+            _print(
+                args, edits.select(answer, _selected_kind(args)), show.entities
+            )
             return DONE
         return await _change(args, client)
 
 
 async def _change(args, client) -> int:
-    """Makes a change on the version read just before.
+    """Applies a change to the version read just before.
 
-    A second operator's change in between makes this one fail, so that nobody
-    overwrites what they have not seen.
+    The change fails if another operator's change comes in between, so that no
+    operator overwrites a change that they have not seen.
     """
     cfg = await entries.get(client, "config")
-    asked = edits.Asked(
+    request = edits.ChangeRequest(
         operator=args["--operator"] or getpass.getuser(),
         note=args["--note"],
         seen_version=cfg["version"],
         nonce=secrets.token_hex(16),
         wait_s=_number(args["--wait"], "--wait"),
     )
-    asked = _edit(args, cfg, asked)
-    answer = await entries.change(client, asked)
+    request = _add_edit(args, cfg, request)
+    answer = await entries.change(client, request)
     _print(args, answer, show.change)
     return DONE if not answer["behind"] else UNKNOWN
 
 
-def _edit(args, cfg: dict, asked: edits.Asked) -> edits.Asked:
-    kind, name = _kind(args), args["NAME"]
+def _add_edit(
+    args, cfg: dict, request: edits.ChangeRequest
+) -> edits.ChangeRequest:
+    kind, name = _selected_kind(args), args["NAME"]
     if args["switch"]:
-        return edits.switch(asked, name)
+        return edits.switch(request, name)
     if args["delete"]:
-        return edits.delete(asked, kind, name)
+        return edits.delete(request, kind, name)
     pairs = args["KEY=VALUE"]
     if args["retire"] or args["admit"]:
         edits.require(cfg, kind, name)
         pairs = ["state=" + ("retired" if args["retire"] else "admitted")]
-    return edits.put(asked, cfg, kind, name, pairs)
+    return edits.put(request, cfg, kind, name, pairs)
 
 
-def _kind(args) -> str:
+def _selected_kind(args) -> str:
     return next(kind for kind in _KINDS if args[kind])
 
 
-def _print(args, answer, text) -> None:
+def _print(args, answer, format_text) -> None:
     if args["--json"]:
         print(msgspec.json.encode(answer).decode())
     else:
-        print(text(answer))
+        print(format_text(answer))
 
 
 def _addresses(args) -> list[str]:
@@ -232,7 +236,9 @@
         if part.strip()
     ]
     if not found:
-        raise exception.SettingsError("no --entry and no COPPERLOOM_ENTRIES")
+        raise exception.SettingsError(
+            "neither --entry nor COPPERLOOM_ENTRIES is given"
+        )
     return found
 
 
@@ -240,7 +246,7 @@
     path = args["--token-file"] or os.environ.get("COPPERLOOM_TOKEN_FILE")
     if not path:
         raise exception.SettingsError(
-            "no --token-file and no COPPERLOOM_TOKEN_FILE"
+            "neither --token-file nor COPPERLOOM_TOKEN_FILE is given"
         )
     try:
         return pathlib.Path(path).read_text().strip()
@@ -252,7 +258,9 @@
     try:
         return float(text)
     except ValueError as error:
-        raise exception.SettingsError(f"{name}: {text!r}") from error
+        raise exception.SettingsError(
+            f"{name}: not a number: {text!r}"
+        ) from error
 
 
 if __name__ == "__main__":
--- a/copperloom/cli/programs.py
+++ b/copperloom/cli/programs.py
@@ -1,4 +1,4 @@
-"""Programs whose settings can be checked and explained."""
+"""The programs whose settings can be checked and explained."""
 
 import importlib
 
@@ -6,7 +6,7 @@
 
 __all__ = ["PROGRAMS", "find"]
 
-# Loaded only when asked for: the command itself starts quickly.
+# Imported on demand, to keep the startup of the command fast.
 PROGRAMS = {
     "entry": ("copperloom.daemons.options", "EntrySettings"),
     "front": ("copperloom.daemons.front", "FrontSettings"),
@@ -21,14 +21,14 @@
 
 
 def find(name: str) -> type:
-    """Returns the settings of a program.
+    """Returns the settings class of a program.
 
     Raises:
-        copperloom.exception.SettingsError: There is no such program.
+        copperloom.exception.SettingsError: The program is unknown.
     """
     if name not in PROGRAMS:
         raise exception.SettingsError(
-            f"no program {name}: one of {', '.join(PROGRAMS)}"
+            f"unknown program {name}, must be one of {', '.join(PROGRAMS)}"
         )
     module, cls = PROGRAMS[name]
     return getattr(importlib.import_module(module), cls)
--- a/copperloom/cli/show.py
+++ b/copperloom/cli/show.py
@@ -1,4 +1,4 @@
-"""Answers as text for people."""
+"""Formats the responses of entries as text."""
 
 import time
 
@@ -6,27 +6,27 @@
 
 
 def change(answer: dict) -> str:
-    """Tells the version that a change made and where it is in force."""
+    """Formats the outcome of a change."""
     lines = [
         f"accepted as version {answer['version']}, in force on "
         f"{answer['in_force']} of {answer['members']} entries after "
         f"{answer['waited_s']:g} s"
     ]
     if answer["behind"]:
-        lines.append("not heard from yet: " + ", ".join(answer["behind"]))
+        lines.append("not confirmed by: " + ", ".join(answer["behind"]))
     if not answer["majority"]:
         lines.append(
-            "not told to more than half: entries that see neither the "
-            "platform nor these may go on without it until they do"
+            "not in force at a majority: entries that reach neither the "
+            "platform nor a member with this version keep an older one"
         )
     return "\n".join(lines)
 
 
 def status(answer: dict) -> str:
-    """Tells who has which version."""
+    """Formats the status of an entry and of the members that it knows."""
     lines = [
         f"{answer['instance']}: version {answer['version']}, preset "
-        f"{answer['preset']}, proved {_age(answer['confirmed_age_s'])} ago, "
+        f"{answer['preset']}, confirmed {_age(answer['confirmed_age_s'])} ago, "
         f"in contact with {answer['contacts']} of {answer['known_members']}"
     ]
     if answer["draining"]:
@@ -35,36 +35,38 @@
             "in progress"
         )
     if answer["leaving_targets"]:
-        lines.append("leaving targets: " + ", ".join(answer["leaving_targets"]))
+        lines.append(
+            "draining targets: " + ", ".join(answer["leaving_targets"])
+        )
     for peer in answer["members"]:
-        tail = ", leaving" if peer["leaving"] else ""
+        tail = ", draining" if peer["leaving"] else ""
         lines.append(
             f"  {peer['instance']} ({peer['data_centre']}, "
-            f"{peer['address']}): version {peer['version']}, heard "
+            f"{peer['address']}): version {peer['version']}, last answer "
             f"{_age(peer['heard_age_s'])} ago{tail}"
         )
     return "\n".join(lines)
 
 
 def audit(answer: dict) -> str:
-    """Tells who changed what, the newest last."""
+    """Formats the audit trail, in order of versions."""
     lines = []
     for row in answer["audit"]:
-        when = time.strftime(
+        time_text = time.strftime(
             "%Y-%m-%dT%H:%M:%SZ", time.gmtime(row["wall_time_s"])
         )
-        what = [f"put {key}" for key in row["puts"]]
-        what += [f"delete {key}" for key in row["deletes"]]
+        operations = [f"put {key}" for key in row["puts"]]
+        operations += [f"delete {key}" for key in row["deletes"]]
         note = f" ({row['note']})" if row["note"] else ""
         lines.append(
-            f"{row['version']} {when} {row['operator']}: "
-            f"{', '.join(what)}{note}"
+            f"{row['version']} {time_text} {row['operator']}: "
+            f"{', '.join(operations)}{note}"
         )
     return "\n".join(lines) or "no changes"
 
 
 def entities(answer: dict) -> str:
-    """Lists entities, one a line."""
+    """Formats entities, one per line."""
     lines = []
     for value in answer["entities"]:
         pairs = " ".join(
@@ -82,10 +84,10 @@
 
 
 def drain(answer: dict) -> str:
-    """Tells that an instance drains."""
+    """Formats the confirmation that an entry is draining."""
     return (
-        f"{answer['instance']} says that it is not ready; it takes what still "
-        "comes and finishes what it has"
+        f"{answer['instance']} reports that it is not ready; it still accepts "
+        "requests and finishes those in progress"
     )
 
 
--- a/copperloom/cli/tests/test_losses.py
+++ b/copperloom/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What a day's worth was lost to, added up from logs and a report."""
+"""Tests of the breakdown of lost worth, from logs and a report."""
 
 import contextlib
 import io
@@ -23,18 +23,18 @@
 
 
 def _outcome(request: str, tokens: int, *, sends: int = 1, more: str = ""):
-    said = _SERVED.format(sends, more)
-    return ("outcome", request, f"{said} prompt_tokens={tokens}")
+    fields = _SERVED.format(sends, more)
+    return ("outcome", request, f"{fields} prompt_tokens={tokens}")
 
 
 def _placed(request: str, tokens: int, predicted_s: float):
-    said = f"prompt_tokens={tokens} predicted_s={predicted_s}"
-    return ("placed", request, said)
+    fields = f"prompt_tokens={tokens} predicted_s={predicted_s}"
+    return ("placed", request, fields)
 
 
 class FindTest(unittest.TestCase):
-    def test_reasons(self):
-        """A short prompt is worth 1, a long one of 95,000 tokens 10."""
+    def test_lost_worth_is_summed_by_reason(self):
+        """A short prompt is worth 1, one of 95,000 tokens is worth 10."""
         found = losses.find(
             _lines(
                 _placed("in-time", 5000, 0.1),
@@ -49,10 +49,10 @@
                 ("outcome", "denied", "outcome=X status=401 sends=0"),
             )
         )
-        got = {loss.reason: (loss.requests, loss.share) for loss in found}
+        by_reason = {loss.reason: (loss.requests, loss.share) for loss in found}
         total = 23.0
         self.assertEqual(
-            got,
+            by_reason,
             {
                 "its instance died": (1, 10 / total),
                 "late by its first event, foreseen": (1, 7.5 / total),
@@ -61,7 +61,7 @@
             },
         )
 
-    def test_refused_and_failed(self):
+    def test_reason_of_unserved_requests(self):
         found = losses.find(
             _lines(
                 ("outcome", "r", "outcome=Overloaded status=503 sends=0"),
@@ -95,7 +95,7 @@
         path.write_text(json.dumps(document))
         return str(path)
 
-    def test_adds_up_to_what_is_missing(self):
+    def test_rows_add_up_to_the_loss_in_the_report(self):
         path = self._report(
             {
                 "G": 0.46,
@@ -115,7 +115,7 @@
         self.assertIn(" 0.0200  price: memory", text)
         self.assertIn(" 0.5400  missing to 1", text)
 
-    def test_spoiled_report_is_an_error(self):
+    def test_malformed_report_raises_an_error(self):
         for document in ({}, [], {"G": "x", "parts": [], "prices": []}):
             with self.assertRaises(exception.SettingsError):
                 report.load(self._report(document))
--- a/copperloom/cli/tests/test_operator.py
+++ b/copperloom/cli/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' command against real entries."""
+"""Tests of the operators' command against running entries."""
 
 import contextlib
 import http.server
@@ -15,7 +15,7 @@
 
 
 class _Run:
-    """What a command printed and returned."""
+    """The output and the exit status of a command."""
 
     def __init__(self, *argv: str):
         out, err = io.StringIO(), io.StringIO()
@@ -30,8 +30,8 @@
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def _silent_entry(case, version: int) -> str:
-    """Starts an entry that reads changes and ends without an answer."""
+def _unresponsive_entry(case, version: int) -> str:
+    """Starts an entry that reads a change and closes without a response."""
 
     class Handler(http.server.BaseHTTPRequestHandler):
         def do_GET(self):
@@ -65,7 +65,7 @@
         cls.platform = processes.launch(cls, "platform", {})
         running = [cls.launch_entry(f"e{i}") for i in range(3)]
         cls.entries = [process.address for process in running]
-        processes.wait_until(cls.all_met, 20, "entries know each other")
+        processes.wait_until(cls.all_in_contact, 20, "entries know each other")
 
     @classmethod
     def launch_entry(cls, name):
@@ -76,7 +76,7 @@
         return processes.launch_entry(cls, cls.platform.address, entry=own)
 
     @classmethod
-    def all_met(cls):
+    def all_in_contact(cls):
         answer = json.loads(cls.command("--json", "status").out)
         return answer["contacts"] == 3
 
@@ -87,7 +87,7 @@
             found += ["--entry", address]
         return _Run("--token-file", str(cls.token), *found, *argv)
 
-    def test_put_switch_list_audit_delete(self):
+    def test_active_preset_is_audited_and_not_deletable(self):
         run = self.command(
             "--operator", "olga", "preset", "put", "night", "short_floor=0.7"
         )
@@ -105,7 +105,7 @@
         self.assertEqual(run.status, operator.NOT_DONE)
         self.assertIn("in force", run.err)
 
-    def test_retire_and_admit(self):
+    def test_target_is_retired_and_admitted_again(self):
         self.command("target", "put", "t", "address=127.0.0.1:9", "serves=m")
         self.assertEqual(self.command("target", "retire", "t").status, 0)
         status = json.loads(self.command("--json", "status").out)
@@ -114,7 +114,7 @@
         listed = json.loads(self.command("--json", "target", "list").out)
         self.assertEqual(listed["entities"][0]["state"], "admitted")
 
-    def test_next_entry_is_tried(self):
+    def test_unreachable_entry_is_skipped(self):
         run = self.command(
             "deployment",
             "put",
@@ -124,35 +124,38 @@
         )
         self.assertEqual(run.status, operator.DONE, run.err)
 
-    def test_lost_confirmation_is_resolved(self):
-        """The platform makes the change and its answer is lost."""
+    def test_change_with_lost_confirmation_succeeds(self):
+        """The platform applies a change, but its response is lost.
+
+        Guards against reporting an applied change as failed or unknown.
+        """
         self.platform.control(lose_confirmations=1)
         run = self.command("deployment", "put", "e", "model=m")
         self.assertEqual(run.status, operator.DONE, run.err)
 
-    def test_no_entry_changes_nothing(self):
+    def test_unreachable_entries_mean_not_done(self):
         run = self.command("status", entries=[_closed_port()])
         self.assertEqual(run.status, operator.NOT_DONE)
         self.assertIn("error 5001", run.err)
 
-    def test_unknown_outcome_has_its_own_status(self):
-        """An entry takes the change, and its connection ends.
+    def test_unknown_outcome_is_settled_by_another_entry(self):
+        """An entry receives a change and closes the connection.
 
-        The operator can't know whether it was made. Another entry settles it,
-        since it gets the same nonce on the same version.
+        Guards against reporting success or failure when the outcome is unknown,
+        and against an outcome that stays unknown with a second entry.
         """
-        silent = _silent_entry(self, self.version())
+        unresponsive = _unresponsive_entry(self, self.version())
         change = ("target", "put", "u", "address=127.0.0.1:9")
-        run = self.command(*change, entries=[silent])
+        run = self.command(*change, entries=[unresponsive])
         self.assertEqual(run.status, operator.UNKNOWN)
         self.assertIn("error 5005", run.err)
-        run = self.command(*change, entries=[silent, self.entries[0]])
+        run = self.command(*change, entries=[unresponsive, self.entries[0]])
         self.assertEqual(run.status, operator.DONE, run.err)
 
     def version(self) -> int:
         return json.loads(self.command("--json", "status").out)["version"]
 
-    def test_wrong_arguments(self):
+    def test_invalid_arguments_are_usage_errors(self):
         cases = [
             ("preset", "fly", "x"),
             ("preset", "put", "x", "wings=2"),
@@ -164,7 +167,7 @@
                 self.assertEqual(self.command(*argv).status, operator.USAGE)
         self.assertEqual(_Run("status").status, operator.USAGE)
 
-    def test_config_check_and_explain(self):
+    def test_settings_are_explained_and_checked(self):
         self.assertIn("confirm_s", _Run("config", "explain").out)
         with tempfile.NamedTemporaryFile("w", suffix=".ini") as file:
             file.write("[entry]\ninstance = a\nlistenn = x\n")
--- a/copperloom/cli/tests/test_trace.py
+++ b/copperloom/cli/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""From a request's id to what decided it, from the logs of two instances."""
+"""Tests that a request's outcome is explained from the logs of instances."""
 
 import contextlib
 import io
@@ -8,7 +8,7 @@
 
 from copperloom.cli import operator, trace
 
-_AT = "2026-05-08T23:50:{} level=INFO event={} {} instance={}"
+_LINE = "2026-05-08T23:50:{} level=INFO event={} {} instance={}"
 _FIRST = [
     ("01.10", "started", "boot=b1", "front-1"),
     (
@@ -41,10 +41,10 @@
 ]
 
 
-def _write(case, name: str, rows) -> str:
+def _write_log(case, name: str, rows) -> str:
     folder = tempfile.mkdtemp()
     path = pathlib.Path(folder) / name
-    text = "\n".join(_AT.format(*row) for row in rows)
+    text = "\n".join(_LINE.format(*row) for row in rows)
     path.write_text("not a line of ours\n" + text + "\n")
     case.addCleanup(path.unlink)
     return str(path)
@@ -53,39 +53,39 @@
 class TraceTest(unittest.TestCase):
     def setUp(self):
         self.logs = [
-            _write(self, "front-2.log", _SECOND),
-            _write(self, "front-1.log", _FIRST),
+            _write_log(self, "front-2.log", _SECOND),
+            _write_log(self, "front-1.log", _FIRST),
         ]
 
-    def test_lines_in_order_with_what_changed_meanwhile(self):
+    def test_lines_are_sorted_and_include_the_context(self):
         found = trace.find(trace.read(self.logs), "r1")
         self.assertEqual(
             [line.event for line in found],
             ["placed", "target_changed", "attempt_failed", "outcome"],
         )
 
-    def test_verdict_names_the_culprit(self):
+    def test_explanation_names_the_failed_target(self):
         found = trace.find(trace.read(self.logs), "r1")
         self.assertEqual(
-            trace.verdict(found),
+            trace.explain(found),
             "502 by code 4004 after 0.5 s: it broke off; sent 1 times, last "
             "to t-1; "
             "t-2 failed it: stands still",
         )
 
-    def test_request_without_an_end(self):
-        """The process was killed while it had the request."""
+    def test_killed_instance_explains_a_missing_outcome(self):
+        """The process was killed while it handled the request."""
         found = trace.find(trace.read(self.logs), "r2")
         self.assertIn(
             "front-2 was killed, and started at 2026-05-08T23:50:05.00",
-            trace.verdict(found),
+            trace.explain(found),
         )
 
-    def test_log_that_ends_too_soon(self):
+    def test_truncated_log_explains_a_missing_outcome(self):
         found = trace.find(trace.read(self.logs[1:]), "r2")
-        self.assertIn("the log of front-1 ends", trace.verdict(found))
+        self.assertIn("the log of front-1 ends", trace.explain(found))
 
-    def test_command(self):
+    def test_command_prints_the_explanation(self):
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             status = operator.main(["trace", "r1", *self.logs])
--- a/copperloom/cli/trace.py
+++ b/copperloom/cli/trace.py
@@ -1,7 +1,7 @@
-"""Puts the log lines of one request in order and says what decided it.
+"""Collects the log lines of a request and explains its outcome.
 
-Lines come from the logs of any number of instances, in any order. Times are of
-the instances' own clocks, which may differ by some ms.
+The lines come from the logs of any number of instances, in any order. They are
+sorted by the clocks of the instances, which may differ by some milliseconds.
 """
 
 import dataclasses
@@ -11,14 +11,14 @@
 
 from copperloom import exception
 
-__all__ = ["Line", "find", "parse", "read", "verdict"]
+__all__ = ["Line", "explain", "find", "parse", "read"]
 
-_TIME = re.compile(r"(\d{4}-\d\d-\d\dT[\d:.]+) level=(\w+) event=(\w+)(.*)")
-_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+_LINE = re.compile(r"(\d{4}-\d\d-\d\dT[\d:.]+) level=(\w+) event=(\w+)(.*)")
+_FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 _STARTED = "started"
-# Lines about what an instance believed: shown if they came between the first
-# and the last line of the request.
-_AROUND = (
+# Events that may affect all requests of an instance; shown if they occur
+# between the first and the last line of the request.
+_CONTEXT_EVENTS = (
     "draining",
     "drain_limit",
     _STARTED,
@@ -30,37 +30,37 @@
     "log_lines_dropped",
 )
 _ANSWERED = "answered"
-_GONE = "caller_gone"
+_CALLER_GONE = "caller_gone"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """A line of a log.
+    """A parsed line of a log.
 
     Attributes:
-        time: When it was written, as text that sorts.
-        event: What happened.
-        pairs: The pairs.
-        text: The line itself.
+        time: Time of the line, as text that sorts in order of time.
+        event: Name of the event.
+        fields: Values of the event by field name.
+        text: The unparsed line.
     """
 
     time: str
     event: str
-    pairs: dict[str, str]
+    fields: dict[str, str]
     text: str
 
 
 def parse(text: str) -> Line | None:
-    """Reads a line; None if it is none of ours."""
-    found = _TIME.search(text)
-    if found is None:
+    """Parses a line; returns None if it has another format."""
+    match = _LINE.search(text)
+    if match is None:
         return None
-    pairs = {k: v.strip('"') for k, v in _PAIR.findall(found[4])}
-    return Line(found[1], found[3], pairs, text.strip())
+    fields = {k: v.strip('"') for k, v in _FIELD.findall(match[4])}
+    return Line(match[1], match[3], fields, text.strip())
 
 
 def read(paths: Iterable[str]) -> list[Line]:
-    """Reads logs.
+    """Returns the parsed lines of log files.
 
     Raises:
         copperloom.exception.SettingsError: A file can't be read.
@@ -76,82 +76,89 @@
 
 
 def find(lines: list[Line], request: str) -> list[Line]:
-    """Returns a request's lines and those around it at its instances."""
-    own = [line for line in lines if line.pairs.get("request") == request]
-    if not own:
+    """Returns the lines of a request and of its context, in order of time.
+
+    The context consists of events of the instances that handled the request.
+    If the request has no outcome, it includes the next start of one of them.
+    """
+    matching = [line for line in lines if line.fields.get("request") == request]
+    if not matching:
         return []
-    first = min(line.time for line in own)
-    last = max(line.time for line in own)
-    instances = {line.pairs.get("instance") for line in own}
-    targets = {line.pairs.get("target") for line in own} - {None}
-    around = [
+    first = min(line.time for line in matching)
+    last = max(line.time for line in matching)
+    instances = {line.fields.get("instance") for line in matching}
+    targets = {line.fields.get("target") for line in matching} - {None}
+    context = [
         line
         for line in lines
-        if line.event in _AROUND
+        if line.event in _CONTEXT_EVENTS
         and first <= line.time <= last
-        and line.pairs.get("instance") in instances
-        and line.pairs.get("target", "") in targets | {""}
+        and line.fields.get("instance") in instances
+        and line.fields.get("target", "") in targets | {""}
     ]
-    if not any(line.event == "outcome" for line in own):
-        around += _next_starts(lines, instances, last)
-    return sorted([*own, *around], key=lambda line: line.time)
+    if not any(line.event == "outcome" for line in matching):
+        context += _next_starts(lines, instances, last)
+    return sorted([*matching, *context], key=lambda line: line.time)
 
 
 def _next_starts(lines, instances, after: str) -> list[Line]:
-    """Finds the next start: what ended the process ended the request."""
+    """Returns the first start after a time, as a list of at most one line.
+
+    It indicates that the process ended while it had the request.
+    """
     starts = [
         line
         for line in lines
         if line.event == _STARTED
-        and line.pairs.get("instance") in instances
+        and line.fields.get("instance") in instances
         and line.time > after
     ]
     return sorted(starts, key=lambda line: line.time)[:1]
 
 
-def verdict(lines: list[Line]) -> str:
-    """Says in words what decided a request, from its lines in order."""
-    end = next((x for x in reversed(lines) if x.event == "outcome"), None)
+def explain(lines: list[Line]) -> str:
+    """Explains the outcome of a request, given its lines in order of time."""
+    outcome = next((x for x in reversed(lines) if x.event == "outcome"), None)
     failed = [x for x in lines if x.event == "attempt_failed"]
-    if end is None:
-        return _without_end(lines)
-    said = end.pairs
-    if said["outcome"] == _GONE:
-        text = f"the caller left after {said['seconds']} s"
-    elif said["outcome"] == _ANSWERED:
-        text = f"answered with {said['status']} after {said['seconds']} s"
+    if outcome is None:
+        return _explain_missing_outcome(lines)
+    fields = outcome.fields
+    if fields["outcome"] == _CALLER_GONE:
+        text = f"the caller disconnected after {fields['seconds']} s"
+    elif fields["outcome"] == _ANSWERED:
+        text = f"answered with {fields['status']} after {fields['seconds']} s"
     else:
-        reason = said.get("reason") or said["outcome"]
-        text = f"{said['status']} by code {said['code']} after "
-        text += f"{said['seconds']} s: {reason}"
-    parts = [text, _sent(said)]
+        reason = fields.get("reason") or fields["outcome"]
+        text = f"{fields['status']} by code {fields['code']} after "
+        text += f"{fields['seconds']} s: {reason}"
+    parts = [text, _describe_sends(fields)]
     parts += [
-        f"{x.pairs['culprit']} failed it: {x.pairs['error']}" for x in failed
+        f"{x.fields['culprit']} failed it: {x.fields['error']}" for x in failed
     ]
     if any(x.event == "repeat_denied" for x in lines):
-        parts.append("the budget of repeats had none left")
+        parts.append("the retry budget was exhausted")
     if any(x.event == "drain_limit" for x in lines):
-        parts.append("its instance stopped at the end of its grace")
+        parts.append("its instance stopped at the end of the grace period")
     return "; ".join(parts)
 
 
-def _sent(said: dict[str, str]) -> str:
-    sends = int(said.get("sends", "0"))
+def _describe_sends(fields: dict[str, str]) -> str:
+    sends = int(fields.get("sends", "0"))
     if not sends:
-        return "it was sent to no target"
-    first = said.get("first_s")
+        return "not sent to any target"
+    first = fields.get("first_s")
     tail = f", first event after {first} s" if first else ""
-    pause = said.get("pause_s")
-    tail += f", longest pause {pause} s" if pause else ""
-    return f"sent {sends} times, last to {said.get('target', '?')}{tail}"
+    gap = fields.get("pause_s")
+    tail += f", longest gap between events {gap} s" if gap else ""
+    return f"sent {sends} times, last to {fields.get('target', '?')}{tail}"
 
 
-def _without_end(lines: list[Line]) -> str:
-    """Says what is known of a request that has no outcome line."""
+def _explain_missing_outcome(lines: list[Line]) -> str:
+    """Explains why a request may have no outcome line."""
     if any(x.event == "log_lines_dropped" for x in lines):
-        return "no outcome: lines were dropped at that time"
+        return "no outcome: log lines were dropped at that time"
     last = lines[-1]
-    name = last.pairs.get("instance", "?")
+    name = last.fields.get("instance", "?")
     if last.event == _STARTED:
         return f"no outcome: {name} was killed, and started at {last.time}"
     return f"no outcome: the log of {name} ends before the request does"
