--- a/copperloom/cli/tests/test_operator.py
+++ b/copperloom/cli/tests/test_operator.py
@@ -69,11 +69,11 @@
 
     @classmethod
     def launch_entry(cls, name):
-        own = {
+        section = {
             "instance": name,
             "operator_token_sha256": systems.digest(systems.OPERATOR_TOKEN),
         }
-        return processes.launch_entry(cls, cls.platform.address, entry=own)
+        return processes.launch_entry(cls, cls.platform.address, entry=section)
 
     @classmethod
     def all_in_contact(cls):
--- a/copperloom/platform/standins/target.py
+++ b/copperloom/platform/standins/target.py
@@ -12,7 +12,7 @@
 
 from copperloom.platform.standins import wire
 
-__all__ = ["Fault", "Seen", "TargetStandin", "serve"]
+__all__ = ["Fault", "ReceivedRequest", "TargetStandin", "serve"]
 
 _PARTIAL_EVENT_BYTES = 16
 
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Seen:
+class ReceivedRequest:
     """A request that a target received.
 
     Attributes:
@@ -85,7 +85,7 @@
         self.events = 5
         self.pause_s = 0.01
         self.break_after = 2
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.running = 0
         self.left = 0
         self.memory: dict[str, int] = {}
@@ -151,7 +151,7 @@
     refused = fault in (Fault.REFUSE, Fault.MISDIRECTED)
     request_id = request.headers.get(wire.REQUEST, "")
     target.seen.append(
-        Seen(
+        ReceivedRequest(
             id=request_id,
             method=request.method,
             raw_path=request.raw_path,
--- a/copperloom/platform/tests/test_http.py
+++ b/copperloom/platform/tests/test_http.py
@@ -58,13 +58,13 @@
         self.assertEqual(
             await self.platform.instances(timeout_s=_TIMEOUT_S), []
         )
-        seen = []
+        observed = []
         deadline = time.monotonic() + 10
-        while len(seen) < 2 and time.monotonic() < deadline:
+        while len(observed) < 2 and time.monotonic() < deadline:
             rows = await self.platform.instances(timeout_s=_TIMEOUT_S)
-            if bool(rows) != (len(seen) == 1):
-                seen.append(rows)
-        self.assertEqual(seen, [[row], []])
+            if bool(rows) != (len(observed) == 1):
+                observed.append(rows)
+        self.assertEqual(observed, [[row], []])
 
     async def test_refused_connection_has_no_effect(self):
         platform = http.connect("127.0.0.1:1")
