--- a/copperloom/ingress/admit.py
+++ b/copperloom/ingress/admit.py
@@ -61,7 +61,7 @@
     ex.priority = route.priority
     ex.deadline = min(ex.deadline, ex.arrived + route.timeout_s)
     ex.limit.reschedule(ex.deadline)
-    stopping.bound(ex)
+    stopping.bound_deadline(ex)
     await nxt(ex)
 
 
--- a/copperloom/ingress/exchange.py
+++ b/copperloom/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way through the filters."""
+"""Holds the state of one request as it passes through the filters."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,43 +12,46 @@
 
 __all__ = ["Exchange", "Filter", "Next", "engine"]
 
-# A caller that does not say how long it waits is held to its route's limit.
-_UNSTATED_S = 60.0
+# Time limit of a caller that states none, unless its route's is lower.
+_DEFAULT_TIME_LIMIT_S = 60.0
 
 
 class Exchange:
-    """A request, what is known of it, and what came of it.
+    """A request, its progress and its result.
+
+    Times are monotonic, in seconds.
 
     Attributes:
         state: The instance's state.
-        http: The request as the library gives it.
-        head: What its headers say.
-        id: The caller's name for it, or one of our own.
-        arrived: Monotonic time at the door.
-        deadline: Monotonic time by which it has its final answer.
-        limit: The timer that enforces it.
+        http: The request as aiohttp received it.
+        head: The values of its headers.
+        id: The caller's id for it, or a generated one.
+        arrived: Time of arrival.
+        deadline: Time by which it must have its final answer.
+        limit: The timer that enforces the deadline.
         route: Its route, once found.
-        service: The service that it goes to.
-        shard: Targets of the service that it may go to.
-        organisation: Holder of its key, "" on public routes.
+        service: The service that the route selected.
+        shard: The targets of the service that it may be sent to.
+        organisation: Owner of its key, "" on public routes.
         priority: Rank; 0 goes first.
-        body: The whole body.
-        table_version: Version of the routes that it was admitted under.
-        plan: Where it goes now.
-        placed_at: Monotonic time at which that was decided.
-        sends: How often it was sent.
-        sent_to: Targets that it was sent to.
-        repeat_granted: Whether one more send is paid for already.
-        avoid: Targets that it is not sent to again.
-        run: What may be believed of it.
+        body: The complete body.
+        table_version: Version of the routes under which it was admitted.
+        plan: Its current placement.
+        placed_at: Time of the current placement.
+        sends: Number of attempts.
+        sent_to: Targets of earlier attempts.
+        repeat_granted: Whether the next retry is already taken from the
+            budget.
+        avoid: Targets that are avoided in further placements.
+        run: Whether it has run, as far as is known.
         response: The response, once begun.
-        reservation: Name of the memory reserved for it.
-        first_at: Monotonic time of the first event or the answer.
-        last_at: Monotonic time of the last event.
-        last_event: Id of the last whole event that went to the caller.
-        longest_pause_s: Longest pause between events.
-        slow: Whether its target was found to write slowly.
-        outcome: Word for the log.
+        reservation: Name of the memory reserved for it, "" without any.
+        first_at: Time of the first event, or of a plain answer.
+        last_at: Time of the last event.
+        last_event: Id of the last complete event sent to the caller.
+        longest_gap_s: Longest gap between events.
+        slow: Whether its target decodes slowly.
+        outcome: Outcome for the log.
         reason: Why it was refused or failed, for the log.
     """
 
@@ -59,7 +62,9 @@
         self.id = self.head.id or state.next_name()
         self.arrived = now
         left_s = self.head.time_left_s
-        self.deadline = now + (_UNSTATED_S if left_s is None else left_s)
+        self.deadline = now + (
+            _DEFAULT_TIME_LIMIT_S if left_s is None else left_s
+        )
         self.limit: deadline.Deadline | None = None
         self.route: routing.Route | None = None
         self.service = ""
@@ -80,14 +85,14 @@
         self.last_at = now
         self.reservation = ""
         self.last_event = self.head.last_event_id
-        self.longest_pause_s = 0.0
+        self.longest_gap_s = 0.0
         self.slow = False
         self.outcome = ""
         self.reason = ""
 
 
 def engine(ex: Exchange) -> routing.EngineSpec | None:
-    """Returns the figures of its service's engines; None for plain services."""
+    """Returns the engine parameters of its service; None for plain services."""
     spec = ex.state.table.services.get(ex.service)
     return spec.engine if spec is not None else None
 
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -1,9 +1,9 @@
-"""Sends a request to targets until one gives its answer.
+"""Sends a request to targets until one of them answers it.
 
-What may be sent again follows from the route: a request that may run once is
-sent again only after a target's own word that it did not run it, or when no
-connection was made. Every send after the first takes from the budget that all
-instances share, and no request goes to more targets than its route allows.
+The route decides what may be sent again: a request that may run only once is
+sent again only if the target reported that it did not run it, or if no
+connection was made. Every retry is taken from the budget that all instances
+share, and no request goes to more targets than its route allows.
 """
 
 import asyncio
@@ -29,83 +29,90 @@
 
 __all__ = ["forward"]
 
-# Connections that could not be made cost no run, but each costs the caller
-# CONNECT_S.
-_MOST_UNREACHABLE = 4
-# Engines admit 0 first. Short prompts go before long ones: the long one's
-# reading is counted in seconds, the short one's in hundredths.
+# A failed connection runs nothing, but each one may cost the caller
+# sender.CONNECT_TIMEOUT_S.
+_MAX_UNREACHABLE = 4
+# Engines admit 0 first. Short prompts precede long ones, since a long prefill
+# delays a short prompt far more than a short prefill delays a long one.
 SHORT_PRIORITY = 1
 LONG_PRIORITY = 6
 _REFUSED_RETRY_S = 0.15
-# Long answers end, and free their memory, about once a second.
+# Memory is freed only when long answers end, far apart.
 _MEMORY_WAIT_S = 0.25
 _MEMORY_RETRY_S = 1.0
-# Share of the time left that a plain answer may take before it is asked for
-# at another target: the second one has as long.
-_PLAIN_PATIENCE = 0.45
-# A plan with targets that leave is made anew once whoever made it may know.
-_STALE_PAUSE_S = 0.01
+# Share of the remaining time after which a plain request is sent to another
+# target, which then has about as long.
+_PLAIN_TIMEOUT_SHARE = 0.45
+# Delay before a plan with draining targets is replaced, so that its owner may
+# receive the update.
+_STALE_PLAN_DELAY_S = 0.01
 _MISDIRECTED = 421
 _SERVER_ERROR = 500
 
 
 async def forward(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Sends the request and relays the answer."""
+    """Sends the request to its targets and relays the answer."""
     unreachable = 0
     while True:
         ex.plan = await placement.place(ex)
         ex.placed_at = asyncio.get_running_loop().time()
-        stopping.check(ex)
+        stopping.check_time_left(ex)
         try:
-            async with reserve.held(ex):
+            async with reserve.hold_memory(ex):
                 if not _is_stale(ex):
                     await _attempt(ex)
                     break
-            await asyncio.sleep(_STALE_PAUSE_S)
+            await asyncio.sleep(_STALE_PLAN_DELAY_S)
         except exception.CapacityExceededError as error:
             await _wait_for_memory(ex, error)
         except exception.TargetUnreachableError as error:
             unreachable += 1
-            _failed(ex, error, health.UNREACHABLE)
-            if unreachable >= _MOST_UNREACHABLE:
+            _record_failure(ex, error, health.UNREACHABLE)
+            if unreachable >= _MAX_UNREACHABLE:
                 raise
         except exception.TargetRefusedError as error:
-            by_helper = _failed(ex, error, health.BROKEN)
-            if not retry.take(ex, by_helper):
+            by_helper = _record_failure(ex, error, health.BROKEN)
+            if not retry.take_retry(ex, by_helper):
                 error.retry_after_s = _REFUSED_RETRY_S
                 raise
         except exception.StreamBrokenError as error:
-            _failed(ex, error, health.BROKEN)
-            if not ex.route.repeatable or not retry.take(ex):
+            _record_failure(ex, error, health.BROKEN)
+            if not ex.route.repeatable or not retry.take_retry(ex):
                 raise
     await nxt(ex)
 
 
 async def _wait_for_memory(ex, error: exception.CapacityExceededError) -> None:
-    """Waits a little before memory is asked for again.
+    """Waits for a random time before memory is reserved again.
 
-    Nothing is held meanwhile, so that two requests which want the memory of
-    the same engines can't wait for each other; the draw keeps them apart.
+    No memory is held during the wait, so that two requests for the same
+    engines can't deadlock. The jitter keeps them from colliding again.
+
+    Raises:
+        copperloom.exception.CapacityExceededError: The request has waited for
+            its share of the time limit.
     """
     logs.event("memory_refused", request=ex.id, error=str(error))
     now = asyncio.get_running_loop().time()
-    if now > ex.arrived + (ex.deadline - ex.arrived) * placement.WAIT_SHARE:
+    if now > ex.arrived + (ex.deadline - ex.arrived) * placement.MAX_WAIT_SHARE:
         error.retry_after_s = _MEMORY_RETRY_S
         raise error
     await asyncio.sleep(ex.state.rng.uniform(0.5, 1.5) * _MEMORY_WAIT_S)
 
 
-def _failed(ex, error: exception.CopperloomError, points: float) -> bool:
-    """Notes a failure; tells whether a helper is to blame."""
+def _record_failure(
+    ex, error: exception.CopperloomError, points: float
+) -> bool:
+    """Records a failure; returns whether a helper engine caused it."""
     now = asyncio.get_running_loop().time()
     culprit = getattr(error, "target", "") or ex.plan.lead
     by_helper = culprit != ex.plan.lead
     ex.avoid.add(culprit)
     if by_helper:
         points = health.UNREACHABLE
-    known = ex.state.health.setdefault(culprit, health.Health())
-    health.record_failure(known, now, points)
-    # An owner would send the next peer's request to the same target.
+    target_health = ex.state.health.setdefault(culprit, health.Health())
+    health.record_failure(target_health, now, points)
+    # Without this report an owner would send other requests to this target.
     ex.state.digest_due.set()
     ex.state.metrics.attempts.labels(type(error).__name__).inc()
     logs.event(
@@ -122,10 +129,11 @@
 
 
 def _is_stale(ex: exchange.Exchange) -> bool:
-    """Tells whether a target of the plan has gone or leaves.
+    """Returns whether a target of the plan is gone or drains.
 
-    Memory is reserved after the plan is made, and an owner may not have heard
-    of a change yet; a target that leaves meanwhile must get no new work.
+    The plan may be older than the latest update, since its owner may not have
+    received it and reserving memory takes time. A draining target must get no
+    new work.
     """
     stale = set()
     for name in (ex.plan.lead, *ex.plan.helpers):
@@ -139,7 +147,7 @@
 
 
 async def _attempt(ex: exchange.Exchange) -> None:
-    """Sends once; counts the work while it lasts."""
+    """Sends the request once and records its work for the duration."""
     state = ex.state
     entry = registry.find(state.targets, ex.plan.lead)
     now = asyncio.get_running_loop().time()
@@ -149,9 +157,9 @@
         placement.to_query(ex, now), ex.plan, now
     )
     inflight_table.begin(state.inflight, ex.id, work)
-    before = ex.run
+    run_before = ex.run
     ex.sends += 1
-    new = entry.name not in ex.sent_to
+    is_first = entry.name not in ex.sent_to
     ex.sent_to.add(entry.name)
     ex.run = exception.Run.MAY_HAVE_RUN
     try:
@@ -162,74 +170,89 @@
             ex.http.raw_path,
             _headers(ex, now),
             ex.body,
-            patience_s=_patience(ex, now),
+            timeout_s=_head_timeout_s(ex, now),
             may_give_up=lambda: retry.may_give_up(ex),
         ) as reply:
-            await relay.relay(ex, reply, _judge(ex, reply))
-        _answered(ex, entry.name)
+            await relay.relay(ex, reply, _check_reply(ex, reply))
+        _record_success(ex, entry.name)
     except exception.TargetUnreachableError:
         ex.sends -= 1
-        if new:
+        if is_first:
             ex.sent_to.discard(entry.name)
-        ex.run = before
+        ex.run = run_before
         raise
     except exception.TargetRefusedError:
-        ex.run = before
+        ex.run = run_before
         raise
     finally:
         inflight_table.end(state.inflight, ex.id)
         state.changed.set()
 
 
-def _patience(ex: exchange.Exchange, now: float) -> float | None:
-    """Returns the longest wait for the head of an answer.
+def _head_timeout_s(ex: exchange.Exchange, now: float) -> float | None:
+    """Returns the timeout for the head of an answer in seconds; None: none.
 
-    A request that may run again is tried elsewhere while time is left for
-    it; one that may not waits for its answer to the end.
+    A request that may run again is sent elsewhere while there is time for it.
+    Any other one waits until its deadline.
     """
     if not ex.route.repeatable or len(ex.sent_to) >= ex.route.max_attempts:
         return None
     if ex.route.kind is routing.RouteKind.STREAM:
-        return relay.first_event_patience(ex)
-    return (ex.deadline - now) * _PLAIN_PATIENCE
+        return relay.first_event_timeout_s(ex)
+    return (ex.deadline - now) * _PLAIN_TIMEOUT_SHARE
 
 
-def _answered(ex: exchange.Exchange, target: str) -> None:
-    known = ex.state.health.get(target)
-    if known is not None and not ex.slow:
-        health.record_success(known, asyncio.get_running_loop().time())
+def _record_success(ex: exchange.Exchange, target: str) -> None:
+    target_health = ex.state.health.get(target)
+    if target_health is not None and not ex.slow:
+        health.record_success(target_health, asyncio.get_running_loop().time())
     ex.state.metrics.attempts.labels("answered").inc()
 
 
-def _judge(ex: exchange.Exchange, reply: sender.Reply) -> headers.ReplyFacts:
-    """Says whether a reply is the target's answer to this request.
+def _check_reply(
+    ex: exchange.Exchange, reply: sender.Reply
+) -> headers.ReplyFacts:
+    """Checks that a reply is the target's answer to this request.
+
+    Returns:
+        What the headers of the reply state.
 
     Raises:
-        copperloom.exception.TargetRefusedError: It did not run it.
-        copperloom.exception.StreamBrokenError: It is no answer to it, or one
-            that is better asked for again.
+        copperloom.exception.TargetRefusedError: The target did not run it.
+        copperloom.exception.StreamBrokenError: It is not a valid answer to
+            this request, or a server error after which a retry is allowed.
     """
     facts = headers.read_reply(reply.headers)
     if facts.not_run or reply.status == _MISDIRECTED:
-        error = exception.TargetRefusedError(f"status {reply.status}")
-        error.target = _named(ex, facts.at_fault)
+        error = exception.TargetRefusedError(
+            f"target did not run the request: status {reply.status}"
+        )
+        error.target = _find_target(ex, facts.at_fault)
         raise error
     if facts.request and facts.request != ex.id:
-        raise exception.StreamBrokenError("another request's answer")
+        raise exception.StreamBrokenError(
+            "target answered with the id of another request"
+        )
     if facts.encoded:
-        raise exception.StreamBrokenError("an encoded body")
+        raise exception.StreamBrokenError(
+            "target sent an unrequested content encoding"
+        )
     if reply.status < 300 and not facts.sealed:
-        raise exception.StreamBrokenError("a success without its seal")
+        raise exception.StreamBrokenError(
+            "target sent a success status without the seal header"
+        )
     if reply.status < _SERVER_ERROR:
         return facts
-    again = ex.route.repeatable and len(ex.sent_to) < ex.route.max_attempts
-    if again or not facts.sealed:
-        raise exception.StreamBrokenError(f"status {reply.status}")
+    may_retry = ex.route.repeatable and len(ex.sent_to) < ex.route.max_attempts
+    if may_retry or not facts.sealed:
+        raise exception.StreamBrokenError(
+            f"target failed: status {reply.status}"
+        )
     return facts
 
 
-def _named(ex: exchange.Exchange, at_fault: str) -> str:
-    """Finds the helper that a refusal names, by name or address."""
+def _find_target(ex: exchange.Exchange, at_fault: str) -> str:
+    """Returns the target that a refusal names by name or address, or ""."""
     for name, entry in ex.state.targets.entries.items():
         if at_fault and at_fault in (name, entry.address):
             return name
@@ -239,14 +262,14 @@
 def _headers(ex: exchange.Exchange, now: float):
     priority = None
     if ex.head.prompt_tokens:
-        long = ex.head.prompt_tokens > plans.SHORT_TOKENS
-        priority = LONG_PRIORITY if long else SHORT_PRIORITY
-    tickets = reserve.tickets(ex)
+        is_long = ex.head.prompt_tokens > plans.SHORT_TOKENS
+        priority = LONG_PRIORITY if is_long else SHORT_PRIORITY
+    paths = reserve.reservation_paths(ex)
     helpers = tuple(
-        registry.find(ex.state.targets, name).address + tickets.get(name, "")
-        for name in reserve.in_order(ex.plan)
+        registry.find(ex.state.targets, name).address + paths.get(name, "")
+        for name in reserve.helpers_in_order(ex.plan)
     )
-    own = headers.TargetHeaders(
+    target_headers = headers.TargetHeaders(
         target=ex.plan.lead,
         organisation=ex.organisation,
         time_left_s=ex.deadline - now,
@@ -254,4 +277,4 @@
         helpers=helpers,
         last_event_id=ex.last_event,
     )
-    return headers.for_target(ex.http.headers.items(), own)
+    return headers.for_target(ex.http.headers.items(), target_headers)
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -98,9 +98,9 @@
             logs.event("peer_unreadable", peer=addr[0], error=str(error))
             return
         if isinstance(told, datagrams.PlacementRequest):
-            placement_rpc.answer(self.state, told)
+            placement_rpc.handle_request(self.state, told)
         elif isinstance(told, datagrams.PlacementReply):
-            placement_rpc.take_answer(self.state, told)
+            placement_rpc.handle_reply(self.state, told)
         elif told.sender.instance != self.state.settings.instance:
             _hear(self, told)
 
--- a/copperloom/ingress/local_placement.py
+++ b/copperloom/ingress/local_placement.py
@@ -1,4 +1,4 @@
-"""Decides where a request goes by what this instance knows of the targets."""
+"""Decides where a request goes by this instance's own in-flight table."""
 
 from copperloom import routing
 from copperloom.decisions import (
@@ -18,40 +18,44 @@
 
 __all__ = ["busy_by_service", "decide"]
 
-# Requests of a plain service beyond its slots that its targets queue.
+# A target of a plain service queues requests until it has this many per slot.
 _PLAIN_QUEUE = 2
 
 
 def decide(
     state: IngressState,
-    asked: placement_query.Query,
+    query: placement_query.Query,
     now: float,
     *,
     alone: bool = False,
 ) -> placement_query.Decision:
-    """Decides what becomes of a request, for this instance or for a peer.
+    """Decides whether and where to send a request, own or a peer's.
 
     Args:
-        state: What is known here.
-        asked: The request.
-        now: Monotonic time.
-        alone: Whether others' work is not known here. Targets that look alike
-            are then drawn, since others that know as little choose as well.
+        state: The state of the instance that decides.
+        query: The request.
+        now: Monotonic time in seconds.
+        alone: Whether the work of other instances is not known here. Equal
+            targets are then tried in random order, since other instances
+            without this knowledge choose at the same time.
+
+    Returns:
+        The decision, with the utilisation of the query's shard.
     """
-    usable = _usable(state, asked, now)
-    known = planner.draw_targets(
-        usable, frozenset(asked.may_lead or ()), state.rng
+    usable = _usable(state, query, now)
+    drawn = planner.draw_targets(
+        usable, frozenset(query.may_lead or ()), state.rng
     )
     if alone:
-        known = state.rng.sample(known, len(known))
-    candidates = _candidates(state, asked, known, now)
-    chosen = _choose(state, asked, candidates) if known else None
+        drawn = state.rng.sample(drawn, len(drawn))
+    candidates = _candidates(state, query, drawn, now)
+    chosen = _choose(state, query, candidates) if drawn else None
     busy = spillover.utilisation(candidates)
-    away = None
-    if not alone and not asked.is_away:
-        others = _others(state, asked.shard, now)
-        away = spillover.choose_remote(
-            chosen, asked.prompt, busy, others, state.rng
+    remote = None
+    if not alone and not query.is_away:
+        remote_shards = _remote_shards(state, query.shard, now)
+        remote = spillover.choose_remote(
+            chosen, query.prompt, busy, remote_shards, state.rng
         )
     return placement_query.Decision(
         choice=chosen,
@@ -60,12 +64,12 @@
         decided_by=state.settings.instance,
         staleness_s=inflight_table.staleness_s(state.inflight, now),
         busy=busy,
-        remote=away,
+        remote=remote,
     )
 
 
 def busy_by_service(state: IngressState, now: float) -> dict[str, float]:
-    """Tells how busy the targets of the own data centre are, by service."""
+    """Returns the utilisation of the own data centre's targets, by service."""
     own = state.settings.data_centre
     found = {}
     for service in registry.services(state.targets):
@@ -73,29 +77,29 @@
         shard = shards.home_shard(service, usable, own)
         if shard.data_centre != own:
             continue
-        asked = placement_query.Query("", shard, own)
-        known = shards.targets_in(shard, usable)
-        drawn = planner.draw_targets(known, frozenset(), state.rng)
-        candidates = _candidates(state, asked, drawn, now)
+        query = placement_query.Query("", shard, own)
+        in_shard = shards.targets_in(shard, usable)
+        drawn = planner.draw_targets(in_shard, frozenset(), state.rng)
+        candidates = _candidates(state, query, drawn, now)
         found[service] = round(spillover.utilisation(candidates), 3)
     return found
 
 
-def _others(
+def _remote_shards(
     state: IngressState, shard: shards.Shard, now: float
 ) -> list[spillover.RemoteShard]:
-    """Lists the other shards of a service, by what their owners have told."""
+    """Lists other shards of a service whose owners reported recently."""
     if not shard.data_centre:
         return []
     found = {}
     for member in members.live(state.members, now):
-        place = member.data_centre
-        if place == shard.data_centre or shard.service not in member.busy:
+        data_centre = member.data_centre
+        if data_centre == shard.data_centre or shard.service not in member.busy:
             continue
         if now - member.busy_at > members.MEMBER_TIMEOUT_S:
             continue
-        found[place] = spillover.RemoteShard(
-            place,
+        found[data_centre] = spillover.RemoteShard(
+            data_centre,
             member.instance,
             member.datagrams,
             member.busy[shard.service],
@@ -105,61 +109,61 @@
 
 def _candidates(
     state: IngressState,
-    asked: placement_query.Query,
-    known: list[routing.TargetEntry],
+    query: placement_query.Query,
+    drawn: list[routing.TargetEntry],
     now: float,
 ) -> list[plans.Candidate]:
-    load = inflight_table.loads(state.inflight, now, (e.name for e in known))
-    return [_candidate(state, asked, e, load, now) for e in known]
+    load = inflight_table.loads(state.inflight, now, (e.name for e in drawn))
+    return [_candidate(state, query, e, load, now) for e in drawn]
 
 
 def _usable(
-    state: IngressState, asked: placement_query.Query, now: float
+    state: IngressState, query: placement_query.Query, now: float
 ) -> list[routing.TargetEntry]:
-    usable = registry.usable_by_shard(state.targets, asked.shard.service, now)
-    known = shards.targets_in(asked.shard, usable)
-    fresh = [e for e in known if e.name not in asked.avoid]
-    return fresh or known
+    usable = registry.usable_by_shard(state.targets, query.shard.service, now)
+    in_shard = shards.targets_in(query.shard, usable)
+    untried = [e for e in in_shard if e.name not in query.avoid]
+    return untried or in_shard
 
 
 def _choose(
     state: IngressState,
-    asked: placement_query.Query,
+    query: placement_query.Query,
     candidates: list[plans.Candidate],
 ) -> plans.Choice:
-    spec = state.table.services.get(asked.shard.service)
-    if asked.prompt is None or spec is None or spec.engine is None:
+    spec = state.table.services.get(query.shard.service)
+    if query.prompt is None or spec is None or spec.engine is None:
         return planner.plan_service(
             [c for c in candidates if c.load.requests < c.slots * _PLAIN_QUEUE]
         )
     may_lead = None
-    if asked.may_lead is not None:
-        may_lead = frozenset(asked.may_lead)
+    if query.may_lead is not None:
+        may_lead = frozenset(query.may_lead)
     return choice.choose(
         spec.engine,
-        asked.prompt,
+        query.prompt,
         planner.least_loaded(candidates, state.rng),
         may_lead=may_lead,
-        is_repeat=asked.is_repeat,
+        is_repeat=query.is_repeat,
     )
 
 
 def _candidate(
     state: IngressState,
-    asked: placement_query.Query,
+    query: placement_query.Query,
     entry: routing.TargetEntry,
     load: dict[str, inflight.TargetLoad],
     now: float,
 ) -> plans.Candidate:
-    seen = health.penalty(state.health.get(entry.name), now)
-    heard = health.penalty(state.peer_health.get(entry.name), now)
+    own = health.penalty(state.health.get(entry.name), now)
+    by_peers = health.penalty(state.peer_health.get(entry.name), now)
     reported = health.reported_penalty(
         state.failure_reports.get(entry.name, {}), now
     )
     return plans.Candidate(
         name=entry.name,
         load=load.get(entry.name, inflight.TargetLoad()),
-        penalty=max(seen + reported, heard),
+        penalty=max(own + reported, by_peers),
         slots=entry.slots,
-        is_local=entry.data_centre == asked.data_centre,
+        is_local=entry.data_centre == query.data_centre,
     )
--- a/copperloom/ingress/metrics.py
+++ b/copperloom/ingress/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an instance that serves by host and path."""
+"""Defines the metrics of an instance that routes by host and path."""
 
 import prometheus_client
 
@@ -6,7 +6,7 @@
 
 __all__ = ["IngressMetrics", "prompt_length"]
 
-# Seconds. Around the aims of short streams (0.3), middle (1.5), long (3).
+# Dense around the first-token objectives of short, middle and long prompts.
 _FIRST_BUCKETS_S = (
     0.01,
     0.025,
@@ -27,7 +27,7 @@
 
 
 def prompt_length(tokens: int) -> str:
-    """Returns the label of a prompt's length; "none" for plain requests."""
+    """Returns the label of a prompt's length; "none" for a plain request."""
     if not tokens:
         return "none"
     if tokens <= plans.SHORT_TOKENS:
@@ -36,7 +36,7 @@
 
 
 class IngressMetrics:
-    """Counters and histograms, in a registry of their own."""
+    """Holds counters and histograms in a separate registry."""
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -46,14 +46,14 @@
             ["status", "code"],
             registry=self.registry,
         )
-        self.first = prometheus_client.Histogram(
+        self.first_byte = prometheus_client.Histogram(
             "copperloom_first_byte_seconds",
             "Time to a stream's first event or a plain answer.",
             ["kind", "prompt"],
             buckets=_FIRST_BUCKETS_S,
             registry=self.registry,
         )
-        self.pause = prometheus_client.Histogram(
+        self.longest_gap = prometheus_client.Histogram(
             "copperloom_stream_pause_seconds",
             "Longest pause between two events of a stream.",
             buckets=_FIRST_BUCKETS_S,
@@ -71,7 +71,7 @@
             ["table"],
             registry=self.registry,
         )
-        self.pending_queries = prometheus_client.Counter(
+        self.owner_queries = prometheus_client.Counter(
             "copperloom_owner_questions",
             "Placements asked of owners, by result.",
             ["result"],
@@ -82,7 +82,7 @@
             "Requests in progress.",
             registry=self.registry,
         )
-        self.waited = prometheus_client.Histogram(
+        self.placement_wait = prometheus_client.Histogram(
             "copperloom_place_wait_seconds",
             "Time that a request waited for a place at a target.",
             ["kind"],
--- a/copperloom/ingress/outcome.py
+++ b/copperloom/ingress/outcome.py
@@ -1,9 +1,8 @@
-"""Gives every request its one outcome, within its time limit.
+"""Gives every request exactly one outcome within its time limit.
 
-The outermost filter: it alone turns errors into answers. Two statuses are
-promises: 503 tells that the request has not run and never will, so it is given
-only while nothing was sent that may still run; after that it is 502, or 504 at
-the time limit.
+This outermost filter alone turns errors into responses. A 503 promises that
+the request has not run and never will, so it is sent only if no attempt may
+still run. Otherwise the status is 502, or 504 at the time limit.
 """
 
 import asyncio
@@ -19,13 +18,13 @@
 _UNAVAILABLE = 503
 _BAD_GATEWAY = 502
 _GATEWAY_TIMEOUT = 504
-# Targets' refusals pass within a pass or two, a few tens of ms each.
-DEFAULT_RETRY_S = 0.2
+# A full target often has capacity again after a few iterations.
+_DEFAULT_RETRY_S = 0.2
 _TIME_LIMIT_RETRY_S = 0.05
 
 
 async def outcome(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Runs the other filters under the deadline and answers errors."""
+    """Runs the other filters under the deadline and responds to errors."""
     state = ex.state
     state.active += 1
     state.exchanges.add(ex)
@@ -39,7 +38,7 @@
         state.active -= 1
         state.exchanges.discard(ex)
         state.metrics.active.dec()
-        _account(ex, code)
+        _record(ex, code)
 
 
 async def _settle(ex: exchange.Exchange, nxt: exchange.Next) -> int:
@@ -53,20 +52,23 @@
         _refuse(ex, error)
         return error.code
     except Exception as error:
-        # A fault of our own still is an outcome: without this the caller
-        # would see a closed connection and not know whether the work ran.
+        # A closed connection would not tell the caller whether the request
+        # ran.
         logs.event("fault", level="ERROR", request=ex.id, error=repr(error))
-        known = exception.CopperloomError("internal error", run=ex.run)
-        _refuse(ex, known)
-        return known.code
+        internal = exception.CopperloomError(
+            "internal error of this instance; its log has the details",
+            run=ex.run,
+        )
+        _refuse(ex, internal)
+        return internal.code
 
 
 def _refuse(ex: exchange.Exchange, error: exception.CopperloomError) -> None:
-    """Answers with an error, or breaks off a stream that has begun."""
+    """Responds with an error, or aborts a stream that has begun."""
     ex.outcome = type(error).__name__.removesuffix("Error")
     ex.reason = str(error)
     if ex.response is not None:
-        # Without its last chunk no HTTP client takes the stream for whole.
+        # Without the last chunk, clients treat the stream as incomplete.
         if ex.http.transport is not None:
             ex.http.transport.abort()
         return
@@ -96,19 +98,19 @@
         return error.retry_after_s
     if isinstance(error, exception.TimeLimitPassedError):
         return _TIME_LIMIT_RETRY_S
-    return DEFAULT_RETRY_S
+    return _DEFAULT_RETRY_S
 
 
-def _late(ex: exchange.Exchange, first_s: float) -> dict:
-    """Returns what was late, and the time within which it should have come."""
+def _missed_objective(ex: exchange.Exchange, first_s: float) -> dict:
+    """Returns log fields for the latency objective that was missed, if any."""
     if first_s > ex.route.target_latency_s:
         return {"late": "first", "aim_s": ex.route.target_latency_s}
-    if ex.longest_pause_s > ex.route.pause_aim_s > 0:
+    if ex.longest_gap_s > ex.route.pause_aim_s > 0:
         return {"late": "pause", "aim_s": ex.route.pause_aim_s}
     return {}
 
 
-def _account(ex: exchange.Exchange, code: int) -> None:
+def _record(ex: exchange.Exchange, code: int) -> None:
     now = asyncio.get_running_loop().time()
     status = ex.response.status if ex.response is not None else 0
     ex.state.metrics.requests.labels(status, code).inc()
@@ -128,15 +130,15 @@
         pairs["target"] = ex.plan.lead
         pairs["helpers"] = len(ex.plan.helpers)
     if ex.first_at is not None:
-        first = ex.first_at - ex.arrived
-        pairs["first_s"] = first
+        first_byte_s = ex.first_at - ex.arrived
+        pairs["first_s"] = first_byte_s
         kind = ex.route.kind.value if ex.route else ""
         length = metrics.prompt_length(ex.head.prompt_tokens)
-        ex.state.metrics.first.labels(kind, length).observe(first)
-        pairs |= _late(ex, first)
-    if ex.longest_pause_s:
-        pairs["pause_s"] = ex.longest_pause_s
-        ex.state.metrics.pause.observe(ex.longest_pause_s)
+        ex.state.metrics.first_byte.labels(kind, length).observe(first_byte_s)
+        pairs |= _missed_objective(ex, first_byte_s)
+    if ex.longest_gap_s:
+        pairs["pause_s"] = ex.longest_gap_s
+        ex.state.metrics.longest_gap.observe(ex.longest_gap_s)
     if ex.head.prompt_tokens:
         pairs["prompt_tokens"] = ex.head.prompt_tokens
     logs.event("outcome", **pairs)
--- a/copperloom/ingress/placement.py
+++ b/copperloom/ingress/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the target of a request, waiting for a place if there is none."""
+"""Chooses the target of a request, and waits while all of them are full."""
 
 import asyncio
 
@@ -8,60 +8,62 @@
 
 __all__ = ["place", "to_query"]
 
-# Longest wait for a change before the targets are looked at again: peers'
-# loads fade with time, without an event.
-_LOOK_AGAIN_S = 0.05
-# Share of the time left that a request may wait for a place: after that it
-# could not be served any more, and its caller can use the rest elsewhere.
-WAIT_SHARE = 0.6
-# When to come back if no target of the service is known.
+# Longest wait for a change before the targets are checked again: the recorded
+# work of peers expires without an event.
+_RECHECK_S = 0.05
+# Share of the remaining time that a request may wait for a free slot. The rest
+# is left to its caller, who may retry at another instance.
+MAX_WAIT_SHARE = 0.6
 _NO_TARGET_RETRY_S = 0.5
 _FULL_RETRY_S = 0.3
-# Peaks of short prompts last for some seconds.
-_TOO_DEAR_RETRY_S = 3.0
-# The guess of an answer's length if the caller gives none.
+# Bursts of short prompts last for some seconds.
+_TOO_COSTLY_RETRY_S = 3.0
+# Assumed length of an answer whose caller sets no limit.
 _DEFAULT_ANSWER_TOKENS = 800
 
 
 async def place(ex: exchange.Exchange) -> plans.Plan:
-    """Returns where to send a request now.
+    """Returns the plan by which to send a request.
 
     Raises:
-        copperloom.exception.NoTargetError: No target is known.
-        copperloom.exception.OverloadedError: All stayed full.
+        copperloom.exception.NoTargetError: The service has no usable target.
+        copperloom.exception.OverloadedError: All targets stayed full, or the
+            placement would cost other requests more than this one is worth.
     """
     loop = asyncio.get_running_loop()
-    begun = loop.time()
-    give_up = begun + (ex.deadline - begun) * WAIT_SHARE
+    started_at = loop.time()
+    wait_until = started_at + (ex.deadline - started_at) * MAX_WAIT_SHARE
     while True:
         now = loop.time()
         usable = registry.usable_by_shard(ex.state.targets, ex.service, now)
         if not usable.targets:
             raise exception.NoTargetError(
-                f"no target of {ex.service}", retry_after_s=_NO_TARGET_RETRY_S
+                f"retry later: no usable target for service {ex.service}",
+                retry_after_s=_NO_TARGET_RETRY_S,
             )
         ex.shard = placement_rpc.shard_of(ex.state, ex.service, usable)
-        decided = await placement_rpc.decide(ex.state, to_query(ex, now), now)
-        chosen = decided.choice
-        if isinstance(chosen, plans.Plan):
-            _tell(ex, decided, chosen, now - begun)
-            return chosen
-        if isinstance(chosen, plans.Refusal):
-            raise _too_dear(ex, chosen.plan)
-        if isinstance(chosen, plans.Deferral):
-            _tell_wait(ex, chosen, now - begun)
-            await asyncio.sleep(chosen.delay_s)
+        decision = await placement_rpc.decide(ex.state, to_query(ex, now), now)
+        choice = decision.choice
+        if isinstance(choice, plans.Plan):
+            _log_placement(ex, decision, choice, now - started_at)
+            return choice
+        if isinstance(choice, plans.Refusal):
+            raise _refusal_error(ex, choice.plan)
+        if isinstance(choice, plans.Deferral):
+            _log_deferral(ex, choice, now - started_at)
+            await asyncio.sleep(choice.delay_s)
             continue
-        if now >= give_up:
+        if now >= wait_until:
             raise exception.OverloadedError(
-                f"all {decided.targets} targets of {ex.service} are full",
+                f"all {decision.targets} targets of service {ex.service} "
+                "stayed full; retry later",
                 retry_after_s=_FULL_RETRY_S,
             )
-        await _wait(ex)
+        await _wait_for_change(ex)
 
 
 def to_query(ex: exchange.Exchange, now: float) -> placement_query.Query:
-    """Returns what whoever places the request needs to know of it."""
+    """Returns the query that describes the request to whoever places it."""
     prompt = None
     held_tokens = 0
     if ex.head.prompt_tokens:
@@ -85,35 +87,36 @@
     )
 
 
-def _too_dear(ex, plan: plans.Plan) -> exception.OverloadedError:
-    stake = plans.worth(ex.head.prompt_tokens)
+def _refusal_error(ex, plan: plans.Plan) -> exception.OverloadedError:
+    worth = plans.worth(ex.head.prompt_tokens)
     return exception.OverloadedError(
-        f"costs {plan.cost:.1f}, worth {stake:.1f}",
-        retry_after_s=_TOO_DEAR_RETRY_S,
+        "retry later: placing this prompt would cost other requests "
+        f"{plan.cost:.1f} units, while it is worth only {worth:.1f}",
+        retry_after_s=_TOO_COSTLY_RETRY_S,
     )
 
 
 def _may_lead(ex: exchange.Exchange) -> tuple[str, ...] | None:
-    """Returns the targets that it may be sent to; None: any.
+    """Returns the targets that may lead the request; None: any.
 
-    When a helper made it fail, it may go once more to a target that has it
-    already, though its route allows no further one.
+    A request whose route allows no further target may still be sent again to
+    one that it was sent to, if a helper engine made the last attempt fail.
     """
     if len(ex.sent_to) < ex.route.max_attempts:
         return None
     return tuple(ex.sent_to)
 
 
-async def _wait(ex: exchange.Exchange) -> None:
+async def _wait_for_change(ex: exchange.Exchange) -> None:
     ex.state.changed.clear()
     try:
-        async with asyncio.timeout(_LOOK_AGAIN_S):
+        async with asyncio.timeout(_RECHECK_S):
             await ex.state.changed.wait()
     except TimeoutError:
         return
 
 
-def _tell_wait(ex, wait: plans.Deferral, waited_s: float) -> None:
+def _log_deferral(ex, wait: plans.Deferral, waited_s: float) -> None:
     logs.event(
         "place_waits",
         request=ex.id,
@@ -125,10 +128,12 @@
     )
 
 
-def _tell(
-    ex, decided: placement_query.Decision, plan: plans.Plan, waited_s: float
+def _log_placement(
+    ex, decision: placement_query.Decision, plan: plans.Plan, waited_s: float
 ) -> None:
-    ex.state.metrics.waited.labels(ex.route.kind.value).observe(waited_s)
+    ex.state.metrics.placement_wait.labels(ex.route.kind.value).observe(
+        waited_s
+    )
     logs.event(
         "placed",
         request=ex.id,
@@ -140,9 +145,9 @@
         predicted_s=plan.first_token_s,
         cost=plan.cost,
         waited_s=waited_s,
-        targets=decided.targets,
-        targets_version=decided.targets_version,
-        decided_by=decided.decided_by,
-        busy=decided.busy,
-        staleness_s=decided.staleness_s,
+        targets=decision.targets,
+        targets_version=decision.targets_version,
+        decided_by=decision.decided_by,
+        busy=decision.busy,
+        staleness_s=decision.staleness_s,
     )
--- a/copperloom/ingress/placement_rpc.py
+++ b/copperloom/ingress/placement_rpc.py
@@ -1,8 +1,8 @@
-"""Asks the owner of a shard for a placement, and answers others that ask.
+"""Sends placement queries to the owners of a shard, and replies to them.
 
-An owner that does not answer within some milliseconds is asked no more for
-this request, and the next one is: it has heard of the same work. Where none
-answers, the instance places by what it knows itself.
+If an owner does not reply within its timeout, the query goes to the next one,
+which receives the same reports of work. If none replies, the instance places
+the request by its own in-flight table.
 """
 
 import asyncio
@@ -19,59 +19,59 @@
 from copperloom.ingress import datagrams, local_placement
 from copperloom.ingress.state import IngressState, is_large_fleet
 
-__all__ = ["answer", "decide", "shard_of", "take_answer"]
+__all__ = ["decide", "handle_reply", "handle_request", "shard_of"]
 
-# An owner answers within a round trip and the time of a placement. Longer, and
-# another one has answered sooner than a short prompt comes late.
-PATIENCE_S = 0.025
-# A long prompt takes an owner longer to place.
-LONG_PATIENCE_S = 0.1
-# Owners asked for one request, before it is placed without them.
-_MOST_ASKED = 2
+# Covers a round trip and a placement. Short, so that another owner can still
+# reply before a short prompt misses its objective.
+QUERY_TIMEOUT_S = 0.025
+# Placing a long prompt takes an owner longer.
+LONG_QUERY_TIMEOUT_S = 0.1
+# Owners to which a request's query is sent before it is placed without them.
+_MAX_OWNERS_QUERIED = 2
 
 
 def shard_of(
     state: IngressState, service: str, usable: shards.Division
 ) -> shards.Shard:
-    """Returns the shard that this instance's requests for a service go to."""
+    """Returns the shard to which this instance sends requests for a service."""
     if not is_large_fleet(state):
         return shards.Shard(service)
     return shards.home_shard(service, usable, state.settings.data_centre)
 
 
 async def decide(
-    state: IngressState, asked: placement_query.Query, now: float
+    state: IngressState, query: placement_query.Query, now: float
 ) -> placement_query.Decision:
-    """Decides what becomes of a request, here or at an owner of its shard."""
+    """Returns the placement of a request, by this instance or a shard owner."""
     if not is_large_fleet(state):
-        return local_placement.decide(state, asked, now)
-    decided = await _decide_at_home(state, asked, now)
-    state.shards_used[asked.request] = (asked.shard, now)
-    place = decided.remote
-    if place is None:
-        return decided
-    shard = shards.Shard(asked.shard.service, place.data_centre)
-    away = dataclasses.replace(asked, shard=shard, is_away=True)
-    told = await _ask(state, place.owner, place.address, away)
-    if told is None or not _is_better(told.choice, decided.choice):
-        return decided
-    state.shards_used[asked.request] = (shard, now)
-    return told
-
-
-def _is_better(away: plans.Choice, here: plans.Choice) -> bool:
-    if not isinstance(away, plans.Plan):
+        return local_placement.decide(state, query, now)
+    decision = await _decide_in_shard(state, query, now)
+    state.shards_used[query.request] = (query.shard, now)
+    remote = decision.remote
+    if remote is None:
+        return decision
+    shard = shards.Shard(query.shard.service, remote.data_centre)
+    remote_query = dataclasses.replace(query, shard=shard, is_away=True)
+    reply = await _send_query(state, remote.owner, remote.address, remote_query)
+    if reply is None or not _is_better(reply.choice, decision.choice):
+        return decision
+    state.shards_used[query.request] = (shard, now)
+    return reply
+
+
+def _is_better(remote: plans.Choice, local: plans.Choice) -> bool:
+    if not isinstance(remote, plans.Plan):
         return False
-    if not isinstance(here, plans.Plan):
+    if not isinstance(local, plans.Plan):
         return True
-    return away.first_token_s <= here.first_token_s
+    return remote.first_token_s <= local.first_token_s
 
 
-async def _decide_at_home(
-    state: IngressState, asked: placement_query.Query, now: float
+async def _decide_in_shard(
+    state: IngressState, query: placement_query.Query, now: float
 ) -> placement_query.Decision:
     own = state.settings.instance
-    order = order_of(state, asked.shard)
+    order = order_of(state, query.shard)
     if state.peers_synced.is_set() and members.is_owner(
         order,
         state.members,
@@ -80,102 +80,109 @@
         owners=1,
         listening_since=state.listening_since,
     ):
-        return local_placement.decide(state, asked, now)
+        return local_placement.decide(state, query, now)
     for owner in members.owners_to_query(order, state.members, own, now)[
-        :_MOST_ASKED
+        :_MAX_OWNERS_QUERIED
     ]:
-        told = await _ask(state, owner.instance, owner.datagrams, asked)
-        if told is not None and told.targets:
-            return told
+        reply = await _send_query(state, owner.instance, owner.datagrams, query)
+        if reply is not None and reply.targets:
+            return reply
     now = asyncio.get_running_loop().time()
-    logs.event("placed_alone", request=asked.request, shard=_name(asked.shard))
-    return local_placement.decide(state, asked, now, alone=True)
+    logs.event("placed_alone", request=query.request, shard=_name(query.shard))
+    return local_placement.decide(state, query, now, alone=True)
 
 
 def order_of(state: IngressState, shard: shards.Shard) -> list[str]:
-    """Returns all that may own a shard, the first one first."""
+    """Returns the instances that may own a shard, in order of precedence."""
     own = state.settings
-    me = shards.Instance(own.instance, own.cores)
-    return members.rank_owners(state.members, me, own.data_centre, shard)
+    candidate = shards.Instance(own.instance, own.cores)
+    return members.rank_owners(state.members, candidate, own.data_centre, shard)
 
 
 def _name(shard: shards.Shard) -> str:
     return f"{shard.service}/{shard.data_centre or '*'}"
 
 
-async def _ask(
-    state: IngressState, owner: str, address: str, asked: placement_query.Query
+async def _send_query(
+    state: IngressState, owner: str, address: str, query: placement_query.Query
 ) -> placement_query.Decision | None:
-    """Asks one owner; None if it does not answer in time."""
+    """Sends a query to one owner; returns None if it times out."""
     loop = asyncio.get_running_loop()
     number = next(state.query_ids)
-    waiting = loop.create_future()
-    state.pending_queries[number] = waiting
+    future = loop.create_future()
+    state.pending_queries[number] = future
     message = datagrams.PlacementRequest(
         asker=state.settings.instance,
         datagrams=state.datagrams,
         sequence=state.sequence,
         number=number,
-        query=asked,
+        query=query,
     )
-    long = asked.prompt and asked.prompt.tokens > plans.SHORT_TOKENS
-    begun = loop.time()
+    is_long = query.prompt and query.prompt.tokens > plans.SHORT_TOKENS
+    sent_at = loop.time()
     state.send(datagrams.encode(message), address)
     try:
-        async with asyncio.timeout(LONG_PATIENCE_S if long else PATIENCE_S):
-            told = datagrams.read_reply(await waiting)
+        async with asyncio.timeout(
+            LONG_QUERY_TIMEOUT_S if is_long else QUERY_TIMEOUT_S
+        ):
+            reply = datagrams.read_reply(await future)
     except TimeoutError:
-        _note_silent(state, owner, asked, loop.time() - begun)
+        _record_timeout(state, owner, query, loop.time() - sent_at)
         return None
     finally:
         del state.pending_queries[number]
-    state.metrics.questions.labels("answered").inc()
-    return told
+    state.metrics.owner_queries.labels("answered").inc()
+    return reply
 
 
-def _note_silent(
+def _record_timeout(
     state: IngressState,
     owner: str,
-    asked: placement_query.Query,
+    query: placement_query.Query,
     waited_s: float,
 ) -> None:
-    known = state.members.get(owner)
-    if known is not None:
-        members.record_query_timeout(known, asyncio.get_running_loop().time())
-    state.metrics.questions.labels("unanswered").inc()
+    member = state.members.get(owner)
+    if member is not None:
+        members.record_query_timeout(member, asyncio.get_running_loop().time())
+    state.metrics.owner_queries.labels("unanswered").inc()
     logs.event(
         "owner_silent",
-        request=asked.request,
-        shard=_name(asked.shard),
+        request=query.request,
+        shard=_name(query.shard),
         owner=owner,
         waited_s=waited_s,
     )
 
 
-def take_answer(state: IngressState, told: datagrams.PlacementReply) -> None:
-    """Hands an answer to whoever waits for it; late ones find nobody."""
-    owner = state.members.get(told.owner)
+def handle_reply(state: IngressState, reply: datagrams.PlacementReply) -> None:
+    """Passes a reply to the query that awaits it, if it has not timed out."""
+    owner = state.members.get(reply.owner)
     if owner is not None:
         members.record_received(owner, asyncio.get_running_loop().time())
-    waiting = state.pending_queries.get(told.number)
-    if waiting is not None and not waiting.done():
-        waiting.set_result(told)
+    future = state.pending_queries.get(reply.number)
+    if future is not None and not future.done():
+        future.set_result(reply)
 
 
-def answer(state: IngressState, question: datagrams.PlacementRequest) -> None:
-    """Places a request for a peer, and counts it until the peer tells of it."""
+def handle_request(
+    state: IngressState, request: datagrams.PlacementRequest
+) -> None:
+    """Places a peer's request and replies to the peer.
+
+    The planned work counts as pending until the peer itself reports it.
+    """
     now = asyncio.get_running_loop().time()
-    asked = question.query
-    decided = local_placement.decide(state, asked, now)
-    if isinstance(decided.choice, plans.Plan):
-        work = placement_query.planned_work(asked, decided.choice, now)
+    query = request.query
+    decision = local_placement.decide(state, query, now)
+    if isinstance(decision.choice, plans.Plan):
+        work = placement_query.planned_work(query, decision.choice, now)
         inflight_table.add_pending(
             state.inflight,
-            question.asker,
-            asked.request,
-            question.sequence,
+            request.asker,
+            query.request,
+            request.sequence,
             work,
             now,
         )
-    reply = datagrams.make_reply(question.number, decided)
-    state.send(datagrams.encode(reply), question.datagrams)
+    reply = datagrams.make_reply(request.number, decision)
+    state.send(datagrams.encode(reply), request.datagrams)
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -1,4 +1,4 @@
-"""Passes a target's answer on to the caller, unchanged and only if whole."""
+"""Relays a target's answer to the caller, unchanged and in complete units."""
 
 import asyncio
 
@@ -9,42 +9,46 @@
 from copperloom.ingress import events, exchange, retry, sender
 from copperloom.platform import headers
 
-__all__ = ["first_event_patience", "relay"]
+__all__ = ["first_event_timeout_s", "relay"]
 
-# A plain answer longer than this goes out in pieces; below it is held until
-# it is whole, so that one that breaks off can be asked for again.
 _HOLD_BYTES = 1024 * 1024
 _EVENT_STREAM = "text/event-stream"
-# Share of the silence after which callers leave at which a stream that stands
-# still is taken up at another target: long enough for any pass of an engine
-# that works (a long prompt that is read again costs others seconds), with time
-# left for the other one.
+# Share of the time after which callers abandon a silent stream, at which it is
+# resumed at another target. It exceeds any iteration of a working engine, since
+# a needless resumption repeats a prefill, and leaves time for the other target.
 STALL_SHARE = 0.75
 
 
 async def relay(
     ex: exchange.Exchange, reply: sender.Reply, facts: headers.ReplyFacts
 ) -> None:
-    """Relays one reply.
+    """Relays one reply to the caller.
+
+    Args:
+        ex: The request.
+        reply: The target's reply, with its body unread.
+        facts: What the reply's headers state.
 
     Raises:
-        copperloom.exception.StreamBrokenError: It broke off.
+        copperloom.exception.StreamBrokenError: The reply ended too soon.
     """
     content_type = reply.headers.get("Content-Type", "")
     if reply.status < 300 and content_type.startswith(_EVENT_STREAM):
-        await _stream(ex, reply)
+        await _relay_stream(ex, reply)
     else:
-        await _whole(ex, reply)
+        await _relay_plain(ex, reply)
 
 
-async def _whole(ex: exchange.Exchange, reply: sender.Reply) -> None:
+async def _relay_plain(ex: exchange.Exchange, reply: sender.Reply) -> None:
     parts = []
     async for part in reply.response.content.iter_any():
         parts.append(part)
-    reply.check_whole()
+    reply.check_complete()
     if ex.response is not None:
-        # The stream had begun at another target; this is no part of it.
-        raise exception.StreamBrokenError("no stream to go on with")
+        # The caller has the start of a stream, which this can't continue.
+        raise exception.StreamBrokenError(
+            "target sent a plain answer instead of resuming the stream"
+        )
     ex.first_at = asyncio.get_running_loop().time()
     ex.response = web.Response(
         status=reply.status,
@@ -54,83 +58,85 @@
     )
 
 
-async def _stream(ex: exchange.Exchange, reply: sender.Reply) -> None:
-    """Relays whole events as they come; half an event is never passed on."""
+async def _relay_stream(ex: exchange.Exchange, reply: sender.Reply) -> None:
+    """Relays events as they arrive, and only complete ones."""
     loop = asyncio.get_running_loop()
     splitter = events.Splitter()
     content = reply.response.content
-    begun = False
-    written = decode_rate.RecentPauses()
+    has_begun = False
+    pauses = decode_rate.RecentPauses()
     while True:
-        chunk = await _read(ex, content, _patience(ex, begun))
+        chunk = await _read(ex, content, _read_timeout_s(ex, has_begun))
         if not chunk:
             break
-        whole = events.feed(splitter, chunk)
-        if whole is None:
+        complete = events.feed(splitter, chunk)
+        if complete is None:
             continue
         now = loop.time()
-        if not begun:
-            begun = True
+        if not has_begun:
+            has_begun = True
             inflight_table.mark_decoding(ex.state.inflight, ex.id)
         else:
-            decode_rate.record_pause(written, now - ex.last_at)
-            _note_pace(ex, written, now)
-        _note_event(ex, now)
-        await _pass_on(ex, reply, whole)
-    reply.check_whole()
+            decode_rate.record_pause(pauses, now - ex.last_at)
+            _record_decode_rate(ex, pauses, now)
+        _record_event(ex, now)
+        await _forward_events(ex, reply, complete)
+    reply.check_complete()
     if splitter.rest:
-        raise exception.StreamBrokenError("ended within an event")
+        raise exception.StreamBrokenError(
+            "stream of the target ended within an event"
+        )
     if ex.response is None:
-        await _begin(ex, reply)
+        await _begin_response(ex, reply)
     await ex.response.write_eof()
 
 
-def _note_event(ex: exchange.Exchange, now: float) -> None:
+def _record_event(ex: exchange.Exchange, now: float) -> None:
     if ex.first_at is None:
         ex.first_at = now
     else:
-        ex.longest_pause_s = max(ex.longest_pause_s, now - ex.last_at)
+        ex.longest_gap_s = max(ex.longest_gap_s, now - ex.last_at)
     ex.last_at = now
 
 
-def _note_pace(
-    ex: exchange.Exchange, written: decode_rate.RecentPauses, now: float
+def _record_decode_rate(
+    ex: exchange.Exchange, pauses: decode_rate.RecentPauses, now: float
 ) -> None:
-    """Holds it against a target if it writes slowly all the while."""
+    """Records a failure of the target if it decodes slowly throughout."""
     engine = exchange.engine(ex)
     if engine is None:
         return
-    if not decode_rate.is_slow(written, engine, ex.head.prompt_tokens):
+    if not decode_rate.is_slow(pauses, engine, ex.head.prompt_tokens):
         return
     ex.slow = True
-    known = ex.state.health.setdefault(ex.plan.lead, health.Health())
-    health.record_failure(known, now, health.SLOW)
+    target_health = ex.state.health.setdefault(ex.plan.lead, health.Health())
+    health.record_failure(target_health, now, health.SLOW)
     ex.state.digest_due.set()
     logs.event(
         "target_slow",
         request=ex.id,
         target=ex.plan.lead,
-        penalty=known.points,
+        penalty=target_health.points,
     )
 
 
-def _patience(ex: exchange.Exchange, begun: bool) -> float | None:
-    """Returns the longest silence that a stream may keep; None: any.
+def _read_timeout_s(ex: exchange.Exchange, has_begun: bool) -> float | None:
+    """Returns the timeout for the next bytes of a stream; None: none.
 
-    Only one that may be resumed is given up: any other goes on until the
-    time limit.
+    Only a stream that can be resumed is abandoned. Any other one continues
+    until its deadline.
     """
     if not ex.route.resumable:
         return None
-    if not begun:
-        return first_event_patience(ex)
+    if not has_begun:
+        return first_event_timeout_s(ex)
     return STALL_SHARE * timeouts.abandon_after_s(
         ex.route.target_latency_s, ex.route.pause_aim_s
     )
 
 
-def first_event_patience(ex: exchange.Exchange) -> float:
-    """Returns the longest wait for a stream's first event, in seconds."""
+def first_event_timeout_s(ex: exchange.Exchange) -> float:
+    """Returns the timeout for a stream's first event in seconds."""
     waited_s = ex.placed_at - ex.arrived
     predicted_s = ex.plan.first_token_s - waited_s
     left_s = ex.route.target_latency_s - waited_s
@@ -138,27 +144,29 @@
 
 
 async def _read(
-    ex: exchange.Exchange, content, patience_s: float | None
+    ex: exchange.Exchange, content, timeout_s: float | None
 ) -> bytes:
-    """Reads what has come; gives a silent stream up only for another one."""
+    """Reads available bytes; abandons a silent stream only for a retry."""
     try:
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             return await content.readany()
     except TimeoutError as error:
         if retry.may_give_up(ex):
-            raise exception.StreamBrokenError("stands still") from error
+            raise exception.StreamBrokenError(
+                "stream of the target stalled"
+            ) from error
     return await content.readany()
 
 
-async def _pass_on(ex, reply, whole: events.Events) -> None:
+async def _forward_events(ex, reply, complete: events.Events) -> None:
     if ex.response is None:
-        await _begin(ex, reply)
-    await ex.response.write(whole.data)
-    if whole.last_id:
-        ex.last_event = whole.last_id
+        await _begin_response(ex, reply)
+    await ex.response.write(complete.data)
+    if complete.last_id:
+        ex.last_event = complete.last_id
 
 
-async def _begin(ex: exchange.Exchange, reply: sender.Reply) -> None:
+async def _begin_response(ex: exchange.Exchange, reply: sender.Reply) -> None:
     response = web.StreamResponse(
         status=reply.status,
         reason=reply.response.reason,
--- a/copperloom/ingress/reserve.py
+++ b/copperloom/ingress/reserve.py
@@ -1,9 +1,9 @@
-"""Reserves memory at engines for a prompt that is larger than one of them.
+"""Reserves memory at engines for a prompt that exceeds one engine's memory.
 
-Each reservation is a lease: short, and prolonged while the request lasts. An
-instance that dies leaves memory set aside for no longer than the lease, and so
-does an order that is carried out late. All of a request's reservations are made
-or none: what was granted is given back before it is tried again.
+Each reservation is a short lease that is renewed while the request lasts, so
+that a crashed instance or a delayed order holds memory no longer than the
+lease. A request gets all of its reservations or none: a partial grant is
+released before the next try.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from copperloom.ingress import exchange, sender
 from copperloom.platform import orders
 
-__all__ = ["held", "in_order", "tickets"]
+__all__ = ["helpers_in_order", "hold_memory", "reservation_paths"]
 
-# Below the time within which unused memory must be free again (4 s).
+# Must stay below the time within which unused memory has to be free again.
 LEASE_S = 3.4
-# Two orders may be lost before a lease ends.
-RENEW_S = 1.1
-_ORDER_S = 0.5
+# A lease survives the loss of two renewals.
+RENEW_INTERVAL_S = 1.1
+_ORDER_TIMEOUT_S = 0.5
 _RELEASE_TRIES = 4
-_RELEASE_PAUSE_S = 0.15
+_RELEASE_RETRY_S = 0.15
 
 
 @contextlib.asynccontextmanager
-async def held(ex: exchange.Exchange) -> AsyncIterator[None]:
-    """Holds the memory that the plan wants, if it wants any.
+async def hold_memory(ex: exchange.Exchange) -> AsyncIterator[None]:
+    """Holds the memory that the plan requires, if any, within the context.
 
     Raises:
         copperloom.exception.CapacityExceededError: Not all of it is free.
@@ -38,24 +38,24 @@
         yield
         return
     ex.reservation = ex.state.next_name()
-    renewing = None
+    renewal = None
     try:
         await _reserve_all(ex, holds)
-        renewing = asyncio.ensure_future(_renew(ex, holds))
+        renewal = asyncio.ensure_future(_renew(ex, holds))
         yield
     finally:
-        if renewing is not None:
-            renewing.cancel()
+        if renewal is not None:
+            renewal.cancel()
         _release_all(ex, holds)
 
 
-def tickets(ex: exchange.Exchange) -> dict[str, str]:
-    """Returns what each helper's address is followed by, by target."""
+def reservation_paths(ex: exchange.Exchange) -> dict[str, str]:
+    """Returns the suffix of each reserving helper's address, by target."""
     return {h.target: f"/{ex.reservation}" for h in ex.plan.holds}
 
 
-def in_order(plan: plans.Plan) -> list[str]:
-    """Lists the helpers, those that hold memory first."""
+def helpers_in_order(plan: plans.Plan) -> list[str]:
+    """Lists the plan's helper engines, those with reserved memory first."""
     holders = [h.target for h in plan.holds]
     return holders + [name for name in plan.helpers if name not in holders]
 
@@ -67,7 +67,8 @@
             h.target for h, ok in zip(holds, granted, strict=True) if not ok
         ]
         raise exception.CapacityExceededError(
-            f"no memory at {', '.join(refused)}"
+            "retry later: not enough free memory for this prompt at "
+            f"{', '.join(refused)}"
         )
     logs.event(
         "memory_reserved",
@@ -80,17 +81,17 @@
 
 async def _reserve(ex: exchange.Exchange, hold: plans.Hold) -> bool:
     call = orders.reserve(hold.target, ex.reservation, hold.tokens, LEASE_S)
-    return await _order(ex, hold.target, call)
+    return await _send_order(ex, hold.target, call)
 
 
 async def _renew(ex: exchange.Exchange, holds) -> None:
     while True:
-        await asyncio.sleep(RENEW_S)
+        await asyncio.sleep(RENEW_INTERVAL_S)
         await asyncio.gather(*(_reserve(ex, h) for h in holds))
 
 
 def _release_all(ex: exchange.Exchange, holds) -> None:
-    """Gives all back, in the background: the caller need not wait for it."""
+    """Releases all reservations in the background, without delay to callers."""
     name = ex.reservation
     for hold in holds:
         task = asyncio.ensure_future(_release(ex, hold.target, name))
@@ -99,23 +100,23 @@
 
 
 async def _release(ex: exchange.Exchange, target: str, name: str) -> None:
-    """Tries a few times; after that the lease ends by itself."""
+    """Releases a reservation; after some failed tries its lease expires."""
     for _ in range(_RELEASE_TRIES):
-        if await _order(ex, target, orders.release(target, name)):
+        if await _send_order(ex, target, orders.release(target, name)):
             return
-        await asyncio.sleep(_RELEASE_PAUSE_S)
+        await asyncio.sleep(_RELEASE_RETRY_S)
 
 
-async def _order(
+async def _send_order(
     ex: exchange.Exchange, target: str, call: orders.OrderCall
 ) -> bool:
-    """Gives one order; False if it was refused or its outcome is not known."""
+    """Returns whether a target granted an order; False if that is unknown."""
     entry = registry.find(ex.state.targets, target)
     if entry is None:
         return False
     try:
         async with (
-            asyncio.timeout(_ORDER_S),
+            asyncio.timeout(_ORDER_TIMEOUT_S),
             sender.send(
                 ex.state.sender,
                 entry.address,
--- a/copperloom/ingress/retry.py
+++ b/copperloom/ingress/retry.py
@@ -1,8 +1,7 @@
-"""Says whether a request may be sent to one more target.
+"""Decides whether a request may be sent to one more target.
 
-A stream or question that gets no answer is given up only once its repeat is
-granted: a target's silence alone is no reason to end an answer, and when no
-further target may be asked, the silent one may still answer.
+An attempt that gets no answer is abandoned only after a retry was granted: if
+no other target may get the request, the silent one may still answer it.
 """
 
 import asyncio
@@ -11,32 +10,35 @@
 from copperloom.decisions import budget, members
 from copperloom.ingress import exchange
 
-__all__ = ["may_give_up", "take"]
+__all__ = ["may_give_up", "take_retry"]
 
-# Sends of one request in all, those that helpers made fail included.
-_MOST_SENDS = 4
+# Attempts of one request, including those that helper engines made fail.
+_MAX_ATTEMPTS = 4
 
 
 def may_give_up(ex: exchange.Exchange) -> bool:
-    """Grants the repeat of a request whose target is silent, if it may be."""
-    if not ex.route.repeatable or not take(ex):
+    """Returns whether a silent target may be abandoned, and grants a retry."""
+    if not ex.route.repeatable or not take_retry(ex):
         return False
     ex.repeat_granted = True
     return True
 
 
-def take(ex: exchange.Exchange, by_helper: bool = False) -> bool:
-    """Takes one repeat, as the route and the shared budget allow.
+def take_retry(ex: exchange.Exchange, by_helper: bool = False) -> bool:
+    """Takes one retry if the route and the shared budget allow it.
 
     Args:
         ex: The request.
-        by_helper: Whether a helper made the last send fail, so that the same
-            target may be asked again with others.
+        by_helper: Whether a helper engine made the last attempt fail. The
+            same lead engine may then be tried again with other helpers.
+
+    Returns:
+        Whether the request may be sent again.
     """
     if ex.repeat_granted:
         ex.repeat_granted = False
         return True
-    again = by_helper and ex.sends < _MOST_SENDS
+    again = by_helper and ex.sends < _MAX_ATTEMPTS
     if not again and len(ex.sent_to) >= ex.route.max_attempts:
         return False
     now = asyncio.get_running_loop().time()
--- a/copperloom/ingress/sender.py
+++ b/copperloom/ingress/sender.py
@@ -1,12 +1,10 @@
-"""Sends requests to targets as they came, byte for byte.
-
-Every request goes over a connection of its own. On kept connections a target's
-second answer, an answer that comes late, or the rest of a body that the target
-had not read is taken for part of the next request's exchange, and a request
-that meets the target's closing of an idle connection can't be told from one
-that ran. A new connection has none of these cases; it costs a round trip
-(under 3 ms between data centres), and proves on failure to connect that
-nothing was sent.
+"""Sends requests to targets, byte for byte as received.
+
+Every request uses a new connection. On a reused connection, a duplicate or
+delayed answer, or the unread rest of a body, would be attributed to the next
+request, and a request sent while the target closes an idle connection could
+not be distinguished from one that ran. A new connection costs a round trip,
+and a failure to connect proves that nothing was sent.
 """
 
 import asyncio
@@ -24,18 +22,17 @@
 
 __all__ = ["Reply", "Sender", "close", "send"]
 
-# A connection to a target that is up takes one round trip, a few ms. The
-# opening packet is lost now and then, and is sent again after a second: it is
-# quicker to go elsewhere.
-CONNECT_S = 0.35
-_LONGEST_LINE = 65_536
+# Below the operating system's delay before it resends a lost SYN packet: trying
+# another target is faster.
+CONNECT_TIMEOUT_S = 0.35
+_MAX_LINE_BYTES = 65_536
 
 
 class _Protocol(client_proto.ResponseHandler):
-    """Remembers whether the connection was reset.
+    """Records whether the connection was reset.
 
-    An answer without a length ends with its connection, and the library takes
-    a reset for such an end: half an answer would pass for a whole one.
+    An answer without a length ends with its connection. aiohttp accepts a
+    reset as such an end, so that a truncated answer would appear complete.
     """
 
     def __init__(self, **kwargs):
@@ -48,17 +45,17 @@
 
 
 class Sender:
-    """The client for targets.
+    """The HTTP client for targets.
 
     Attributes:
-        session: Made on first use inside the loop.
+        session: Created on first use, inside the event loop.
     """
 
     def __init__(self):
         self.session: aiohttp.ClientSession | None = None
 
     def open(self) -> aiohttp.ClientSession:
-        """Returns the session."""
+        """Returns the session, and creates it on first use."""
         if self.session is None:
             self.session = aiohttp.ClientSession(
                 connector=_connector(),
@@ -71,21 +68,21 @@
                     "User-Agent",
                 ),
                 timeout=aiohttp.ClientTimeout(total=None),
-                max_line_size=_LONGEST_LINE,
-                max_field_size=_LONGEST_LINE,
+                max_line_size=_MAX_LINE_BYTES,
+                max_field_size=_MAX_LINE_BYTES,
             )
         return self.session
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer whose head has come.
+    """An answer whose head has been received.
 
     Attributes:
-        status: Its status.
-        headers: Its headers.
-        response: The library's response, to read the body from.
-        protocol: Its connection.
+        status: The HTTP status.
+        headers: The headers.
+        response: aiohttp's response, to read the body from.
+        protocol: The protocol of its connection.
     """
 
     status: int
@@ -93,19 +90,21 @@
     response: aiohttp.ClientResponse
     protocol: _Protocol
 
-    def check_whole(self) -> None:
-        """Raises unless the body that was read is whole.
+    def check_complete(self) -> None:
+        """Checks that the body that was read is complete.
 
-        The library itself reports a body that is shorter than its length or
-        lacks its last chunk.
+        aiohttp itself reports a body that is shorter than its length or lacks
+        its last chunk.
 
         Raises:
-            copperloom.exception.StreamBrokenError: It ended by a reset.
+            copperloom.exception.StreamBrokenError: A reset ended the body.
         """
         framed = "Content-Length" in self.headers
         framed = framed or "Transfer-Encoding" in self.headers
         if not framed and self.protocol.reset is not None:
-            raise exception.StreamBrokenError("reset before its end")
+            raise exception.StreamBrokenError(
+                "connection reset before the end of the answer"
+            )
 
 
 def _connector() -> aiohttp.TCPConnector:
@@ -115,7 +114,7 @@
         use_dns_cache=False,
         socket_factory=sockets.watched,
     )
-    # The library has no other way to give a connection's class.
+    # aiohttp has no public way to set the protocol class.
     connector._factory = functools.partial(_Protocol, loop=connector._loop)
     return connector
 
@@ -129,71 +128,75 @@
     headers: Mapping[str, str],
     body: bytes,
     *,
-    patience_s: float | None = None,
+    timeout_s: float | None = None,
     may_give_up: Callable[[], bool] = lambda: True,
 ) -> AsyncIterator[Reply]:
-    """Sends a request and gives its reply once the head has come.
+    """Sends a request and yields its reply once the head is received.
 
-    Leaving the context closes the connection, which tells the target to stop.
+    Leaving the context closes the connection, which makes the target stop.
 
     Args:
-        client: The client.
+        client: The HTTP client.
         address: IP:port of the target.
-        method: The method.
+        method: The HTTP method.
         raw_path: Path and query as the caller sent them.
-        headers: All headers but those of the connection.
-        body: The whole body.
-        patience_s: Longest wait for the head of the answer; None sets no
-            limit.
-        may_give_up: Asked after that; if it says no, the wait goes on.
+        headers: All headers except those of the connection.
+        body: The complete body.
+        timeout_s: Timeout for the head of the answer in seconds; None for no
+            timeout.
+        may_give_up: Called at the timeout; if it returns False, the wait
+            continues.
 
     Raises:
         copperloom.exception.TargetUnreachableError: Nothing was sent.
         copperloom.exception.StreamBrokenError: It may have run.
     """
     url = yarl.URL(f"http://{address}{raw_path}", encoded=True)
-    limit = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S)
-    asked = client.open().request(
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
+    pending = client.open().request(
         method,
         url,
         headers=headers,
         data=body or None,
         allow_redirects=False,
-        timeout=limit,
+        timeout=timeout,
         middlewares=(_classify,),
     )
     try:
-        async with await _head(asked, patience_s, may_give_up) as resp:
-            # A short answer is whole by now, and its public `connection` gone.
+        async with await _head(pending, timeout_s, may_give_up) as resp:
+            # aiohttp clears the public `connection` once a short answer is
+            # complete.
             yield Reply(resp.status, resp.headers, resp, resp._protocol)
     except (aiohttp.ClientError, OSError) as error:
         raise exception.StreamBrokenError(_reason(error)) from error
 
 
-async def _head(asked, patience_s, may_give_up) -> aiohttp.ClientResponse:
-    """Waits for the head of an answer."""
+async def _head(pending, timeout_s, may_give_up) -> aiohttp.ClientResponse:
+    """Waits for the head of an answer, until the timeout or beyond it."""
 
     async def wait():
-        return await asked
+        return await pending
 
     task = asyncio.ensure_future(wait())
     try:
-        done, _ = await asyncio.wait({task}, timeout=patience_s)
+        done, _ = await asyncio.wait({task}, timeout=timeout_s)
         if not done and may_give_up():
-            raise exception.StreamBrokenError("no answer in time")
+            raise exception.StreamBrokenError(
+                "target sent no answer before the timeout"
+            )
         return await task
     finally:
-        # Ends the wait when the caller has left, too.
+        # Also ends the request if this wait is cancelled.
         task.cancel()
 
 
 async def _classify(
     req: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Tells a connection that was not made from one that broke.
+    """Distinguishes a failure to connect from a broken connection.
 
-    It stands below the library's own repetition of idempotent methods, which
-    acts on the library's errors only.
+    As a middleware it runs below aiohttp's own retries of idempotent methods,
+    and its errors are not retried by them.
     """
     try:
         return await handler(req)
@@ -207,7 +210,7 @@
 
 
 async def close(client: Sender) -> None:
-    """Closes all connections."""
+    """Closes all connections of a client."""
     if client.session is not None:
         await client.session.close()
 
--- a/copperloom/ingress/stopping.py
+++ b/copperloom/ingress/stopping.py
@@ -1,9 +1,9 @@
-"""What an instance that stops may still do for its requests.
+"""Bounds the requests of an instance that stops.
 
-The platform kills it at the end of a grace time. A prompt that it begins to
-read again shortly before is cut then, and its caller has neither an answer nor
-the time to get one elsewhere. So requests are bounded by that end, and one that
-would begin to be answered later is handed back at once.
+The platform kills a stopping instance at the end of a grace period, which
+would cut off its requests when their callers have no time left to retry. So
+their deadlines are moved to that end, and a request whose answer would begin
+later is refused at once.
 """
 
 import asyncio
@@ -12,53 +12,55 @@
 from copperloom.ingress import exchange
 from copperloom.ingress.state import IngressState
 
-__all__ = ["begin", "bound", "check"]
+__all__ = ["begin", "bound_deadline", "check_time_left"]
 
-# The caller needs no longer to connect elsewhere.
+# Other instances can take the request at once.
 _RETRY_S = 0.0
-# Answers to requests that ran out of time are sent within this time.
-_LAST_ANSWERS_S = 0.1
+# Reserved for sending the errors of requests that reach their deadline.
+_FINAL_ERRORS_S = 0.1
 
 
 def begin(state: IngressState, until: float) -> None:
-    """Bounds all requests in progress, and those that still come.
+    """Bounds the deadlines of requests in progress and of later ones.
 
     Args:
         state: The instance's state.
-        until: Monotonic time at which the instance ends.
+        until: Monotonic time in seconds at which the instance ends.
     """
     state.draining = True
-    state.drain_until = until - _LAST_ANSWERS_S
+    state.drain_until = until - _FINAL_ERRORS_S
     for ex in state.exchanges:
-        bound(ex)
+        bound_deadline(ex)
 
 
-def bound(ex: exchange.Exchange) -> None:
-    """Moves a request's deadline to the end of its instance, if sooner."""
+def bound_deadline(ex: exchange.Exchange) -> None:
+    """Lowers a request's deadline to the end of its instance."""
     if ex.state.drain_until < ex.deadline:
         ex.deadline = ex.state.drain_until
         ex.limit.reschedule(ex.deadline)
 
 
-def check(ex: exchange.Exchange) -> None:
-    """Hands a request back whose plan begins to answer too late.
+def check_time_left(ex: exchange.Exchange) -> None:
+    """Refuses a request whose answer would begin after the instance's end.
 
     Raises:
-        copperloom.exception.DrainingError: Another instance has the time.
+        copperloom.exception.DrainingError: The caller should retry, at another
+            instance.
     """
-    first_at = ex.arrived + ex.plan.first_token_s
-    if first_at < ex.state.drain_until:
+    first_token_at = ex.arrived + ex.plan.first_token_s
+    if first_token_at < ex.state.drain_until:
         return
     now = asyncio.get_running_loop().time()
     logs.event(
         "handed_back",
         request=ex.id,
-        predicted_s=first_at - now,
+        predicted_s=first_token_at - now,
         left_s=ex.state.drain_until - now,
         sends=ex.sends,
     )
     raise exception.DrainingError(
-        "this instance ends before it could answer",
+        "instance shuts down before the predicted first token; retry at once "
+        "at another instance",
         run=ex.run,
         retry_after_s=_RETRY_S,
     )
--- a/copperloom/ingress/tests/test_placement_rpc.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -91,7 +91,7 @@
         # All instances of the test share one loop, so owners answer late, and
         # askers tell late that they have sent what was placed for them.
         with (
-            mock.patch.object(placement_rpc, "PATIENCE_S", 2.0),
+            mock.patch.object(placement_rpc, "QUERY_TIMEOUT_S", 2.0),
             mock.patch.object(inflight_table, "PENDING_S", 5.0),
         ):
             answers = await asyncio.gather(*asking)
@@ -273,7 +273,7 @@
         )
         await asyncio.sleep(_AWAY_S)
         await fixtures.call(system, "/chat/x", prompt=5000, number=asker)
-        asked = system.fronts[asker].entry.metrics.questions
+        asked = system.fronts[asker].entry.metrics.owner_queries
         self.assertEqual(asked.labels("answered")._value.get(), 1)
 
     async def test_full_data_centre(self):
--- a/copperloom/ingress/tests/test_reserve.py
+++ b/copperloom/ingress/tests/test_reserve.py
@@ -54,4 +54,4 @@
         )
 
     def test_lease_outlives_two_lost_orders(self):
-        self.assertGreater(reserve.LEASE_S, 3 * reserve.RENEW_S)
+        self.assertGreater(reserve.LEASE_S, 3 * reserve.RENEW_INTERVAL_S)
