--- a/copperloom/ingress/__init__.py
+++ b/copperloom/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Serves callers by host and path, and passes requests on byte for byte."""
+"""Routes callers' requests by host and path, and relays them byte for byte."""
--- a/copperloom/ingress/chain.py
+++ b/copperloom/ingress/chain.py
@@ -1,12 +1,12 @@
-"""The filters that every request passes, in order."""
+"""Lists the filters that every request passes through, in order."""
 
 from copperloom import chains
 from copperloom.ingress import admit, exchange, forward, outcome
 
 __all__ = ["REQUESTS", "run"]
 
-# The outcome filter stands outermost: it alone turns errors into answers, so
-# that a request can have no second outcome and none is left without one.
+# The outcome filter is outermost, since it alone turns errors into responses:
+# every request gets exactly one outcome.
 REQUESTS: tuple[exchange.Filter, ...] = (
     outcome.outcome,
     admit.await_start,
--- a/copperloom/ingress/events.py
+++ b/copperloom/ingress/events.py
@@ -1,4 +1,4 @@
-"""Splits a body into server-sent events without changing a byte."""
+"""Splits a byte stream at the ends of server-sent events."""
 
 import dataclasses
 import re
@@ -10,10 +10,10 @@
 
 
 class Splitter:
-    """Keeps the start of an event whose end has not come.
+    """Buffers the bytes of an incomplete event.
 
     Attributes:
-        rest: Bytes after the last whole event.
+        rest: The bytes after the last complete event.
     """
 
     def __init__(self):
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Events:
-    """One or more whole events.
+    """One or more complete events.
 
     Attributes:
-        data: Their bytes.
-        count: How many.
-        last_id: Id of the last one that has one, "" if none has.
+        data: The bytes of the events, unchanged.
+        count: The number of events.
+        last_id: The last id among the events, "" if none has one.
     """
 
     data: bytes
@@ -36,14 +36,14 @@
 
 
 def feed(splitter: Splitter, chunk: bytes) -> Events | None:
-    """Takes bytes in; returns the events that are whole now, if any."""
+    """Adds bytes; returns the events that they complete, or None."""
     data = splitter.rest + chunk
     ends = [m.end() for m in _END.finditer(data)]
     if not ends:
         splitter.rest = data
         return None
     splitter.rest = data[ends[-1] :]
-    whole = data[: ends[-1]]
-    ids = _ID.findall(whole)
+    complete = data[: ends[-1]]
+    ids = _ID.findall(complete)
     last = ids[-1].decode("latin-1") if ids else ""
-    return Events(whole, len(ends), last)
+    return Events(complete, len(ends), last)
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -1,8 +1,8 @@
-"""Mechanisms that can be turned off, to measure what each is worth.
+"""Turns single mechanisms off for ablation experiments.
 
-Each switch is a constant and the value at which its mechanism does nothing.
-Meant for measuring only: what a mechanism is worth under a load is known when
-the same load has been played without it.
+Each switch names a constant and the value that disables its mechanism. It is
+meant for experiments only: the benefit of a mechanism under a load shows when
+the same load is replayed without it.
 """
 
 import dataclasses
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Switch:
-    """A constant that turns a mechanism off.
+    """A constant that can disable a mechanism.
 
     Attributes:
-        module: Its module, below `copperloom`.
-        constant: Its name.
-        off: The value at which the mechanism does nothing.
+        module: Module of the constant, relative to `copperloom`.
+        constant: Name of the constant.
+        off: The value that disables the mechanism.
     """
 
     module: str
@@ -31,54 +31,54 @@
 
 
 MECHANISMS: dict[str, tuple[Switch, ...]] = {
-    # Answers are written on few engines, so that others are free to read.
+    # Decodes are packed on few engines, which leaves others for prefills.
     "gathering": (Switch("decisions.planner", "PACK_COST", 0.0),),
-    # Engines with full memory are avoided.
+    # Engines with little free memory are avoided.
     "full_memory": (Switch("decisions.planner", "FULL_COST", 0.0),),
-    # Long prompts are read by several engines.
+    # Long prompts are split into parts for several engines.
     "parts": (Switch("decisions.planner", "SHORTEST_PART_S", _NEVER),),
-    # Each part more has a price.
+    # Each additional part has a cost.
     "part_price": (Switch("decisions.planner", "PART_COST", 0.0),),
-    # Engines in the same data centre go first.
+    # Local engines are preferred.
     "near": (Switch("decisions.planner", "LOCAL_GAIN", 0.0),),
-    # Prompts that cost others more than they are worth are refused.
+    # Prompts whose cost to other requests exceeds their worth are refused.
     "refusal": (Switch("decisions.planner", "REFUSE_COST_RATIO", _NEVER),),
-    # Long prompts wait for engines that come free.
+    # Long prompts are deferred until engines become free.
     "waiting": (Switch("decisions.deferral", "COSTLY_SHARE", _NEVER),),
-    # Requests that come while engines read count.
+    # Interference includes requests that arrive during a prefill.
     "arrivals": (Switch("decisions.interference", "SHORT_ANSWER_S", _NEVER),),
-    # Waiting costs, also when it is in time.
+    # Waiting has a cost, even within the latency objective.
     "wait_price": (Switch("decisions.interference", "WAIT_COST", 0.0),),
-    # Targets that failed of late are avoided.
+    # Targets that failed recently are avoided.
     "penalties": (
         Switch("decisions.planner", "PENALTY_COST", 0.0),
         Switch("decisions.health", "MAX_PENALTY", 0.0),
     ),
-    # Penalties are told to peers.
+    # Penalties that peers report are applied.
     "hearsay": (Switch("decisions.health", "PEER_DISCOUNT", 0.0),),
-    # Targets that write slowly are noticed.
+    # Targets that decode slowly are penalised.
     "pace": (Switch("decisions.decode_rate", "SLOW_FACTOR", _NEVER),),
-    # Streams that stand still are taken up elsewhere.
+    # Stalled streams are resumed at another target.
     "stalls": (Switch("ingress.relay", "STALL_SHARE", _NEVER),),
-    # Streams without a first event are asked for elsewhere.
+    # Streams without a first event are retried at another target.
     "first_event": (
         Switch("decisions.timeouts", "FIRST_SLACK_S", _NEVER),
         Switch("decisions.timeouts", "SOON_SLACK_S", _NEVER),
     ),
-    # Short prompts go before long ones at an engine.
+    # Engines admit short prompts before long ones.
     "priority": (Switch("ingress.forward", "LONG_PRIORITY", 1),),
-    # A few instances follow the tables, and tell the others.
+    # A few instances watch the tables and send updates to the others.
     "followers": (Switch("ingress.watchers", "WATCHERS", 1_000_000),),
-    # Requests that come before routes are known are held.
+    # Requests that arrive before routes are known are held.
     "hold_at_start": (Switch("daemons.front", "START_HOLD_S", 0.0),),
 }
 
 
 def turn_off(names: tuple[str, ...]) -> None:
-    """Turns mechanisms off for the life of the process.
+    """Disables mechanisms for the lifetime of the process.
 
     Args:
-        names: Which ones; each is in MECHANISMS.
+        names: Keys of MECHANISMS.
     """
     for name in names:
         for switch in MECHANISMS[name]:
--- a/copperloom/ingress/scrape.py
+++ b/copperloom/ingress/scrape.py
@@ -1,4 +1,4 @@
-"""The page of metrics: what is counted as it happens, and what is so now."""
+"""Renders the metrics page: event counters and the current state."""
 
 import prometheus_client
 from prometheus_client import core, registry
@@ -12,20 +12,20 @@
 
 
 def page(state: IngressState, now: float) -> bytes:
-    """Renders all metrics.
+    """Renders all metrics in the Prometheus text format.
 
     Args:
         state: The instance's state.
-        now: Monotonic time.
+        now: Monotonic time in seconds.
     """
     current = prometheus_client.CollectorRegistry()
-    current.register(_Now(state, now))
+    current.register(_StateCollector(state, now))
     counted = prometheus_client.generate_latest(state.metrics.registry)
     return counted + prometheus_client.generate_latest(current)
 
 
-class _Now(registry.Collector):
-    """Gives what is so at one moment, in the library's form."""
+class _StateCollector(registry.Collector):
+    """Collects metrics of the state at one moment."""
 
     def __init__(self, state: IngressState, now: float):
         self.state = state
@@ -45,7 +45,7 @@
 
 
 def _versions(state: IngressState, now: float):
-    told = views.status(state, now)
+    status = views.status(state, now)
     version = core.GaugeMetricFamily(
         "copperloom_version",
         "Version of what this instance goes by.",
@@ -57,17 +57,17 @@
         labels=["of"],
     )
     for name in ("routes", "targets"):
-        version.add_metric([name], told[name]["version"])
-        if told[name]["age_s"] is not None:
-            age.add_metric([name], told[name]["age_s"])
+        version.add_metric([name], status[name]["version"])
+        if status[name]["age_s"] is not None:
+            age.add_metric([name], status[name]["age_s"])
     targets = core.GaugeMetricFamily(
         "copperloom_targets",
         "Registered targets by service and state.",
         labels=["service", "state"],
     )
-    for service, counts in told["targets"]["by_service"].items():
-        for word, count in counts.items():
-            targets.add_metric([service, word], count)
+    for service, counts in status["targets"]["by_service"].items():
+        for condition, count in counts.items():
+            targets.add_metric([service, condition], count)
     return version, age, targets
 
 
@@ -96,12 +96,12 @@
     for service in state.budget.requests:
         value = budget.left(state.budget, service, now, sharing)
         left.add_metric([service], value)
-    held = core.GaugeMetricFamily(
+    releases = core.GaugeMetricFamily(
         "copperloom_background_tasks",
         "Releases of reserved memory under way.",
         value=len(state.background),
     )
-    return left, held
+    return left, releases
 
 
 def _calls(state: IngressState):
--- a/copperloom/ingress/server.py
+++ b/copperloom/ingress/server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, for the balancer's readiness checks and for metrics."""
+"""Listens for callers, readiness checks of the load balancer, and operators."""
 
 import asyncio
 import socket
@@ -12,25 +12,24 @@
 
 __all__ = ["Listeners", "close", "close_callers", "is_ready", "listen"]
 
-_LONGEST_LINE = 65_536
+_MAX_LINE_BYTES = 65_536
 _UNAVAILABLE = 503
-# Connections that come at once: callers move here together when another
-# instance stops.
+# Callers of another instance reconnect together when it stops.
 _BACKLOG = 1024
-_STOP_S = 0.1
-# Reading from a connection and starting its request take a few.
-_TAKE_IN_TURNS = 10
-# Callers close their own idle connections sooner. One that this side closed
-# could meet a request on its way.
-_KEPT_S = 300.0
+_SHUTDOWN_S = 0.1
+# Iterations of the event loop in which received requests are read and started.
+_READ_ITERATIONS = 10
+# Longer than callers keep idle connections: a connection that this side closes
+# may lose a request in transit.
+_KEEPALIVE_S = 300.0
 
 
 class Listeners:
-    """What is open for others to connect to.
+    """The open listeners of an instance.
 
     Attributes:
-        callers: The library's server for callers.
-        sockets: The listening sockets, by what they are for.
+        callers: aiohttp's server for callers.
+        sockets: The listening servers by purpose.
         busy: Callers' connections with a request in progress.
     """
 
@@ -41,9 +40,9 @@
 
 
 def is_ready(state: IngressState) -> bool:
-    """Tells whether new connections should come here.
+    """Returns whether the load balancer should send connections here.
 
-    An instance that knows no routes or no targets could only refuse.
+    An instance without routes or targets could only refuse requests.
     """
     return state.routing_known.is_set() and not state.draining
 
@@ -55,23 +54,26 @@
 
     Args:
         state: The instance's state.
-        metrics: IP:port for metrics and operators' questions, "" for none.
-        callers: A socket that listens for callers already, if there is one.
+        metrics: IP:port for metrics and operators' requests, "" for none.
+        callers: A socket that already listens for callers, if any.
     """
     own = Listeners()
     own.callers = web.Server(
-        _caller(state, own.busy),
+        _caller_handler(state, own.busy),
         access_log=None,
         handler_cancellation=True,
         auto_decompress=False,
-        keepalive_timeout=_KEPT_S,
-        max_line_size=_LONGEST_LINE,
-        max_field_size=_LONGEST_LINE,
+        keepalive_timeout=_KEEPALIVE_S,
+        max_line_size=_MAX_LINE_BYTES,
+        max_field_size=_MAX_LINE_BYTES,
         lingering_time=0,
     )
     addresses = {
-        "readiness": (state.settings.readiness_listen, _readiness(state)),
-        "metrics": (metrics, _operators(state)),
+        "readiness": (
+            state.settings.readiness_listen,
+            _readiness_handler(state),
+        ),
+        "metrics": (metrics, _operator_handler(state)),
     }
     for name, (address, handler) in addresses.items():
         if address:
@@ -84,42 +86,45 @@
 
 
 async def close_callers(own: Listeners) -> None:
-    """Takes no further requests; those in progress go on.
+    """Stops accepting requests; those in progress continue.
 
-    Idle connections are closed, and the others after their request. A caller
-    that kept one open could otherwise send a request just before the process
-    is killed: one that crosses the close has not been read and is sent anew.
+    Idle connections are closed at once and the others after their request.
+    Otherwise a caller could use an idle connection just before the process is
+    killed. A request in transit at the close is never read, so that its caller
+    can safely send it again.
     """
     server = own.sockets.pop("callers", None)
     if server is not None:
         server.close()
-    for _ in range(_TAKE_IN_TURNS):
-        # Takes in the requests that have come over the network by now.
+    for _ in range(_READ_ITERATIONS):
+        # Lets the requests that have already arrived start.
         await asyncio.sleep(0)
     for connection in own.callers.connections:
         if connection in own.busy:
             connection.close()
         elif connection.transport is not None:
-            # The library's own close() would leave it open and unread.
+            # aiohttp's close() would leave the connection open but unread.
             connection.transport.close()
 
 
 async def close(own: Listeners) -> None:
-    """Closes everything, idle connections too."""
+    """Closes all listeners and connections."""
     await close_callers(own)
     for server in own.sockets.values():
         server.close()
     if own.callers is not None:
-        await own.callers.shutdown(_STOP_S)
+        await own.callers.shutdown(_SHUTDOWN_S)
 
 
 async def _open(
-    address: str, server: web.Server, listening: socket.socket | None = None
+    address: str,
+    server: web.Server,
+    listening_socket: socket.socket | None = None,
 ) -> asyncio.Server:
     loop = asyncio.get_running_loop()
-    if listening is not None:
+    if listening_socket is not None:
         return await loop.create_server(
-            server, sock=listening, backlog=_BACKLOG
+            server, sock=listening_socket, backlog=_BACKLOG
         )
     host, _, port = address.rpartition(":")
     return await loop.create_server(
@@ -127,14 +132,14 @@
     )
 
 
-def _caller(state: IngressState, busy: set):
+def _caller_handler(state: IngressState, busy: set):
     async def handle(http: web.BaseRequest) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
         ex = exchange.Exchange(state, http, now)
         busy.add(http.protocol)
         try:
             await chains.run(chain.REQUESTS, ex)
-            await _answer(ex)
+            await _send_response(ex)
         finally:
             busy.discard(http.protocol)
         return ex.response
@@ -142,16 +147,16 @@
     return handle
 
 
-async def _answer(ex: exchange.Exchange) -> None:
-    """Sends the response, unless it is a stream that was sent already."""
+async def _send_response(ex: exchange.Exchange) -> None:
+    """Sends the response unless it was already sent as a stream."""
     if ex.response is None:
-        # The caller has left; nothing can be sent to it.
+        # The caller has disconnected, but aiohttp requires a response.
         ex.response = web.Response(status=_UNAVAILABLE)
     if ex.response.prepared:
         return
     if ex.state.draining:
-        # Tells the caller to connect elsewhere, so that closing this
-        # connection later cuts no request.
+        # Makes the caller reconnect to another instance before this
+        # connection is closed.
         ex.response.force_close()
     try:
         await ex.response.prepare(ex.http)
@@ -160,14 +165,14 @@
         logs.event("caller_gone", request=ex.id, error=str(error))
 
 
-def _readiness(state: IngressState):
+def _readiness_handler(state: IngressState):
     async def handle(http: web.BaseRequest) -> web.Response:
         return web.Response(status=200 if is_ready(state) else _UNAVAILABLE)
 
     return handle
 
 
-def _operators(state: IngressState):
+def _operator_handler(state: IngressState):
     """Serves /metrics, /status and /explain?host=..&path=..&key=..."""
 
     async def handle(http: web.BaseRequest) -> web.Response:
@@ -175,8 +180,8 @@
         if http.path == "/status":
             return _json(views.status(state, now))
         if http.path == "/explain":
-            asked = [http.query.get(n, "") for n in ("host", "path", "key")]
-            return _json(views.explain(state, *asked, now))
+            arguments = [http.query.get(n, "") for n in ("host", "path", "key")]
+            return _json(views.explain(state, *arguments, now))
         return web.Response(
             body=scrape.page(state, now), content_type="text/plain"
         )
--- a/copperloom/ingress/views.py
+++ b/copperloom/ingress/views.py
@@ -1,8 +1,8 @@
-"""What an instance tells operators about itself, and how it would route.
+"""Describes an instance's state and its routing to operators.
 
-Answers to questions on the internal port: who it knows, what it goes by and
-how old that is, and which route, organisation and targets a request would
-meet. Nothing here changes anything.
+Serves read-only requests on the internal port: the known members, the versions
+and ages of routes and targets, and the route, organisation and targets that a
+request would get.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 
 
 def status(state: IngressState, now: float) -> dict:
-    """Tells what the instance goes by, as plain JSON values.
+    """Returns the state of the instance as plain JSON values.
 
     Args:
         state: The instance's state.
@@ -82,7 +82,7 @@
 def explain(
     state: IngressState, host: str, path: str, key: str, now: float
 ) -> dict:
-    """Tells which route, organisation and services a request would meet.
+    """Returns the route, organisation and services for a request.
 
     Args:
         state: The instance's state.
@@ -92,7 +92,7 @@
         now: Monotonic time.
 
     Returns:
-        Plain JSON values; `refused` says why it would get no further.
+        Plain JSON values; `refused` names the error that it would get.
     """
     table = state.table
     found = {"routes_version": table.version, "host": host, "path": path}
@@ -103,12 +103,12 @@
         return found | _refused(exception.UnknownDeploymentError)
     found["route"] = msgspec.to_builtins(route)
     if table.keyed and not route.public:
-        holder = table.organisations.get(key)
-        if holder is None:
+        organisation = table.organisations.get(key)
+        if organisation is None:
             return found | _refused(exception.UnknownOrganisationError)
-        found["organisation"] = holder.name
-        if holder.priority is not None:
-            found["priority"] = holder.priority
+        found["organisation"] = organisation.name
+        if organisation.priority is not None:
+            found["priority"] = organisation.priority
     found["services"] = [
         {
             "service": b.service,
