--- a/copperloom/ingress/tests/fixtures.py
+++ b/copperloom/ingress/tests/fixtures.py
@@ -1,8 +1,8 @@
-"""A small system for tests: a table service, targets and instances.
+"""Starts small systems for tests: a table service, targets and instances.
 
-All run on the test's own loop; instances have loopback addresses of their own,
-so that several use the same ports, as on the platform. What is started is
-stopped when the test ends.
+All of them run on the event loop of the test and are stopped at its end. Each
+instance has its own loopback address, so that several can use the same ports,
+as on the platform.
 """
 
 import asyncio
@@ -39,12 +39,12 @@
 HOST = "desk.example"
 KEY = "key-1"
 _hosts = itertools.count(2)
-# Loopback addresses of this process's own: the instances' datagram port is the
-# same at all of them, and another run of the tests may go on beside this one.
+# Loopback network of this process: all instances use the same datagram port,
+# and other test runs may be in progress.
 _NETWORK = f"127.{16 + os.getpid() % 200}.{os.getpid() // 200 % 250}"
 _ids = itertools.count(1)
-_LIMIT_S = 5.0
-_POLL_S = 0.01
+_TIMEOUT_S = 5.0
+_POLL_INTERVAL_S = 0.01
 
 ENGINE = {
     "slots": 8,
@@ -61,7 +61,7 @@
 
 
 def engine_route(path: str = "/chat/", **changes) -> dict:
-    """Returns a route to the model engines, as operators write it."""
+    """Returns a row for a route to the model engines."""
     row = {
         "name": f"r{path}",
         "host": HOST,
@@ -81,7 +81,7 @@
 
 
 def routes(version: int = 1, extra: list[dict] | None = None, **changes):
-    """Returns the operators' document."""
+    """Returns a configuration document with routes, services and limits."""
     plain = {"service": "plain", "gap_aim_ms": None, "timeout_ms": 6000}
     rows = [
         engine_route(),
@@ -110,14 +110,14 @@
 
 @dataclasses.dataclass
 class System:
-    """What a test started.
+    """A running system.
 
     Attributes:
-        case: The test.
+        case: The test to which the system belongs.
         store: The table service.
+        session: The HTTP client of callers.
         targets: The targets by name.
         fronts: The instances.
-        session: A caller's client.
     """
 
     case: unittest.IsolatedAsyncioTestCase
@@ -144,7 +144,7 @@
     async def start_front(
         self, own: settings.PlatformSettings
     ) -> front.FrontService:
-        """Starts an instance with given settings."""
+        """Starts an instance with the given settings; returns it."""
         metrics = f"{own.ip}:{free_port()}"
         service = front.FrontService(state.IngressState(own), metrics)
         await service.start()
@@ -152,7 +152,7 @@
         return service
 
     async def stop_fronts(self) -> None:
-        """Stops all instances at once: each takes its time to drain."""
+        """Stops all instances concurrently, since each one drains first."""
         await asyncio.gather(*(service.stop() for service in self.fronts))
 
 
@@ -160,19 +160,19 @@
 
 
 def next_ip() -> str:
-    """Returns a loopback address that no instance has had yet."""
+    """Returns an unused loopback address."""
     return f"{_NETWORK}.{next(_hosts) % 250 + 2}"
 
 
 def free_port() -> int:
-    """Returns a port that nobody listens on now."""
+    """Returns a port on which no process listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 def own_settings(ip: str, store: str, **changes) -> settings.PlatformSettings:
-    """Returns the settings of an instance at an address."""
+    """Returns the settings of an instance at a loopback address."""
     own = settings.PlatformSettings(
         instance=f"front-{ip}",
         ip=ip,
@@ -201,7 +201,7 @@
     plain: int = 2,
     fronts: int = 1,
 ) -> System:
-    """Starts a table service, targets and instances that are ready."""
+    """Starts a system; returns it once its instances are ready."""
     store = await store_standin.serve()
     case.addAsyncCleanup(store.close)
     session = aiohttp.ClientSession(auto_decompress=False)
@@ -229,7 +229,7 @@
 
 
 async def ready(system: System, number: int = 0) -> int:
-    """Asks an instance whether it is ready; returns the status."""
+    """Returns the HTTP status of an instance's readiness check."""
     own = system.fronts[number].entry.settings
     async with system.session.get(f"http://{own.readiness_listen}/r") as resp:
         return resp.status
@@ -237,13 +237,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What a caller got.
+    """An answer that a caller received.
 
     Attributes:
-        status: The status.
-        body: The body as far as it came.
+        status: The HTTP status.
+        body: The bytes received, possibly truncated.
         headers: The headers.
-        whole: Whether the answer came to its end.
+        whole: Whether the answer is complete.
         id: Id of the request.
     """
 
@@ -265,27 +265,29 @@
     wait_ms: int = 4000,
     headers: dict[str, str] | None = None,
 ) -> Answer:
-    """Calls an instance as a caller would, without any retry."""
+    """Sends a request to an instance, without retries."""
     own = system.fronts[number].entry.settings
     request_id = f"q{next(_ids)}"
     sent = wire.caller_headers(HOST, request_id, KEY, wait_ms / 1000, prompt)
     sent |= headers or {}
     url = yarl.URL(f"http://{own.callers_listen}{path}", encoded=True)
-    got = b""
+    received = b""
     async with system.session.request(
         method, url, headers=sent, data=body if method != "GET" else None
     ) as resp:
         whole = True
         try:
-            async for part in resp.content.iter_any():
-                got += part
+            async for chunk in resp.content.iter_any():
+                received += chunk
         except aiohttp.ClientError:
             whole = False
-        return Answer(resp.status, got, dict(resp.headers), whole, request_id)
+        return Answer(
+            resp.status, received, dict(resp.headers), whole, request_id
+        )
 
 
-async def until(condition, limit_s: float = _LIMIT_S) -> None:
-    """Waits until a condition holds."""
+async def until(condition, limit_s: float = _TIMEOUT_S) -> None:
+    """Waits until a condition holds; raises TimeoutError at the limit."""
     async with asyncio.timeout(limit_s):
         while not condition():
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
--- a/copperloom/ingress/tests/test_admit.py
+++ b/copperloom/ingress/tests/test_admit.py
@@ -1,4 +1,4 @@
-"""Requests that come before routes and targets are known."""
+"""Tests requests that arrive before routes and targets are known."""
 
 import asyncio
 import time
@@ -7,21 +7,19 @@
 from copperloom.daemons import front
 from copperloom.ingress.tests import fixtures
 
-_TABLE_AWAY = 503
-# What a refusal may take beyond the hold, on a busy machine.
+_TABLE_DOWN = 503
+# Allowance for a busy machine.
 _SLACK_S = 0.4
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
     async def test_request_is_held_until_routes_are_known(self):
-        """Many callers come back to an instance that has just started.
+        """A starting instance must not refuse what it can serve shortly after.
 
-        It listens, but has not read routes and targets yet. A 503 would use up
-        the one further try that most callers have, at another instance that
-        knows as little; held for some hundredths of a second it is served.
+        Callers would spend their retry at instances that also just started.
         """
         system = await fixtures.start_system(self, fronts=0)
-        system.store.down = _TABLE_AWAY
+        system.store.down = _TABLE_DOWN
         await system.add_front()
         calls = [
             asyncio.ensure_future(fixtures.call(system, path, prompt=prompt))
@@ -34,21 +32,20 @@
         self.assertEqual([a.status for a in answers], [200, 200])
 
     async def test_request_is_refused_if_routes_stay_unknown(self):
-        """The table does not answer an instance that has just started.
+        """Requests must not be held on while the table service is down.
 
-        What can't be served must not be held on: after the bound of the hold
-        callers get 503, which is true, and later ones get it at once.
+        They get 503 at the end of the hold, and later ones get it at once.
         """
         system = await fixtures.start_system(self, fronts=0)
-        system.store.down = _TABLE_AWAY
+        system.store.down = _TABLE_DOWN
         await system.add_front()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         answer = await fixtures.call(system, "/write/x")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0)
-        took = time.monotonic() - begun
-        self.assertLess(took, front.START_HOLD_S + _SLACK_S)
-        begun = time.monotonic()
+        elapsed_s = time.monotonic() - started_at
+        self.assertLess(elapsed_s, front.START_HOLD_S + _SLACK_S)
+        started_at = time.monotonic()
         answer = await fixtures.call(system, "/write/x")
         self.assertEqual(answer.status, 503)
-        self.assertLess(time.monotonic() - begun, _SLACK_S)
+        self.assertLess(time.monotonic() - started_at, _SLACK_S)
--- a/copperloom/ingress/tests/test_failures.py
+++ b/copperloom/ingress/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""What callers get when targets fail, and how often their requests run."""
+"""Tests what callers receive, and how often requests run, if targets fail."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins.target import Fault
 
-# Faults after which nobody knows whether the request ran.
+# Faults after which it is unknown whether the request ran.
 _MAY_HAVE_RUN = (
     Fault.UNSEALED,
     Fault.OTHERS_ANSWER,
@@ -25,13 +25,11 @@
     return sum(t.runs.count(answer.id) for t in system.targets.values())
 
 
-class OnceTest(unittest.IsolatedAsyncioTestCase):
-    async def test_at_most_one_run_whatever_fails(self):
-        """A door must not open twice.
+class NonIdempotentTest(unittest.IsolatedAsyncioTestCase):
+    async def test_non_idempotent_request_runs_at_most_once(self):
+        """A request that may have run must not be sent again.
 
-        The target runs the request and its answer is lost, cut, another
-        request's or no answer at all. The caller is told that it may have run
-        (502), it is sent nowhere else, and no 503 invites it to come back.
+        A 503 would let its caller repeat it, so the status must be 502.
         """
         system = await fixtures.start_system(self, engines=1)
         for fault in _MAY_HAVE_RUN:
@@ -42,12 +40,8 @@
                 self.assertEqual(answer.status, 502)
                 self.assertEqual(_runs(system, answer), 1)
 
-    async def test_refusal_is_passed_on_as_not_run(self):
-        """A full target says that it did not run the request.
-
-        The route allows one target, so the caller gets 503 with a time to come
-        back at once: the request has not run and never will.
-        """
+    async def test_refusal_by_target_becomes_503(self):
+        """A caller must learn that its refused request can be repeated."""
         system = await fixtures.start_system(self, engines=1)
         for fault in _NOT_RUN:
             with self.subTest(fault):
@@ -58,12 +52,8 @@
                 self.assertGreater(float(answer.headers["Retry-After"]), 0)
                 self.assertEqual(_runs(system, answer), 0)
 
-    async def test_silent_target_ends_at_the_time_limit(self):
-        """A target takes the request and never answers.
-
-        At the time limit the caller gets 504, which promises nothing; the
-        connection is closed, so that the target stops.
-        """
+    async def test_silent_target_yields_504_at_the_time_limit(self):
+        """A silent target must not hold its caller, nor work on for nobody."""
         system = await fixtures.start_system(self, engines=1, plain=1)
         target = system.targets["plain-0"]
         target.always = Fault.MUTE
@@ -71,21 +61,16 @@
         self.assertEqual(answer.status, 504)
         await fixtures.until(lambda: target.left == 1)
 
-    async def test_unreachable_target_costs_no_run(self):
-        """The first target has crashed and its port is closed.
-
-        No connection is made, so nothing was sent: even a request that may run
-        once goes on to the other target.
-        """
+    async def test_request_goes_on_after_failed_connection(self):
+        """A failed connection must not count as a possible run."""
         system = await fixtures.start_system(self, engines=1)
         await system.targets["plain-0"].close()
         answers = [await fixtures.call(system, "/write/x") for _ in range(4)]
         self.assertEqual({a.status for a in answers}, {200})
 
 
-class RepeatTest(unittest.IsolatedAsyncioTestCase):
-    async def test_idempotent_request_is_sent_once_more(self):
-        """One target fails in any way; the caller gets the other's answer."""
+class RetryTest(unittest.IsolatedAsyncioTestCase):
+    async def test_idempotent_request_is_sent_at_most_twice(self):
         system = await fixtures.start_system(self, engines=1)
         for fault in (*_MAY_HAVE_RUN, *_NOT_RUN, Fault.FAIL):
             with self.subTest(fault):
@@ -95,14 +80,13 @@
                 system.targets["plain-0"].faults.append(fault)
                 system.targets["plain-1"].faults.append(fault)
                 answer = await fixtures.call(system, "/read/x", method="GET")
-                # Both are spoiled once: the first answer fails, and so does
-                # the second; a third target is not allowed.
+                # Both attempts fail, and the route allows no third target.
                 self.assertIn(answer.status, (500, 502, 503))
                 self.assertLessEqual(_runs(system, answer), 2)
-                again = await fixtures.call(system, "/read/x", method="GET")
-                self.assertEqual(again.status, 200)
+                later = await fixtures.call(system, "/read/x", method="GET")
+                self.assertEqual(later.status, 200)
 
-    async def test_one_bad_target_is_hidden(self):
+    async def test_failing_target_is_hidden_from_callers(self):
         system = await fixtures.start_system(self, engines=1)
         system.targets["plain-0"].always = Fault.RESET
         answers = [
@@ -111,12 +95,8 @@
         ]
         self.assertEqual({a.status for a in answers}, {200})
 
-    async def test_silent_target_is_given_up_in_time(self):
-        """A target takes a status question and never answers.
-
-        The question may run twice, so it goes to the other target while half
-        of its time is left, and its caller gets that one's answer.
-        """
+    async def test_silent_target_is_abandoned_within_the_time_limit(self):
+        """A silent target must not use up the time that a retry needs."""
         system = await fixtures.start_system(self, engines=1)
         system.targets["plain-0"].always = Fault.MUTE
         answers = [
@@ -127,12 +107,8 @@
 
 
 class StreamTest(unittest.IsolatedAsyncioTestCase):
-    async def test_broken_stream_goes_on_elsewhere(self):
-        """An engine crashes after two events, or within the third.
-
-        The other engine goes on after the last whole event; the caller sees
-        each event once, in order, and no half event.
-        """
+    async def test_broken_stream_is_resumed_at_another_engine(self):
+        """A crash of an engine must not lose, repeat or truncate an event."""
         system = await fixtures.start_system(self)
         for fault in (Fault.BREAK, Fault.HALF_EVENT):
             with self.subTest(fault):
@@ -143,12 +119,12 @@
                 for target in system.targets.values():
                     target.faults.append(fault)
                     target.break_after = 2
-                # The second engine must not fail as well.
+                # The second engine must not fail.
                 answer = await self._call_until_one_fails(system)
-                wanted = "".join(
+                expected = "".join(
                     f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 6)
                 )
-                self.assertEqual(answer.body.decode(), wanted)
+                self.assertEqual(answer.body.decode(), expected)
                 self.assertTrue(answer.whole)
 
     async def _call_until_one_fails(self, system):
@@ -162,12 +138,8 @@
             target.faults.clear()
         return await task
 
-    async def test_stream_that_may_not_resume_is_cut(self):
-        """An engine crashes in a stream that may run once.
-
-        The caller's connection ends without the last chunk, so that no client
-        takes the half answer for a whole one.
-        """
+    async def test_broken_stream_that_may_not_resume_is_aborted(self):
+        """A truncated answer must not appear complete to its caller."""
         system = await fixtures.start_system(self)
         for target in system.targets.values():
             target.always = Fault.BREAK
@@ -175,11 +147,8 @@
         self.assertFalse(answer.whole)
         self.assertEqual(_runs(system, answer), 1)
 
-    async def test_stream_that_stands_still_is_taken_up(self):
-        """An engine freezes in mid-stream; its connection stays open.
-
-        Before the caller would leave, the stream goes on at the other one.
-        """
+    async def test_stalled_stream_is_resumed_at_another_engine(self):
+        """A frozen engine keeps its connection open and reports no error."""
         system = await fixtures.start_system(self)
         task = asyncio.ensure_future(
             fixtures.call(system, "/chat/x", prompt=5000)
@@ -193,12 +162,8 @@
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body.count(b"id: "), 5)
 
-    async def test_silence_alone_ends_no_stream(self):
-        """Both engines stand still, one after the other.
-
-        The route allows two targets; the second one is waited for until it
-        goes on, since nobody else may be asked.
-        """
+    async def test_stalled_stream_is_kept_if_no_retry_is_allowed(self):
+        """A stalled answer may still continue if no retry can replace it."""
         system = await fixtures.start_system(self)
         engines = [t for n, t in system.targets.items() if "engine" in n]
         for target in engines:
@@ -215,18 +180,15 @@
         self.assertEqual(len(engines[0].seen) + len(engines[1].seen), 2)
         self.assertGreaterEqual(answer.body.count(b"id: "), 2)
 
-    def test_patience_ends_before_callers_leave(self):
+    def test_stall_timeout_is_shorter_than_callers_wait(self):
         self.assertLess(
             relay.STALL_SHARE * timeouts.ABANDON_S, timeouts.ABANDON_S
         )
 
 
-class LeaveTest(unittest.IsolatedAsyncioTestCase):
-    async def test_target_stops_when_the_caller_leaves(self):
-        """A caller gives up before the answer, or in the middle of a stream.
-
-        Half a second later no target works for it any more.
-        """
+class DisconnectTest(unittest.IsolatedAsyncioTestCase):
+    async def test_target_stops_when_the_caller_disconnects(self):
+        """Targets must not go on with work that nobody receives."""
         system = await fixtures.start_system(self)
         for path, prompt in (("/read/x", 0), ("/chat/x", 5000)):
             with self.subTest(path):
@@ -250,11 +212,7 @@
 
 class BudgetTest(unittest.IsolatedAsyncioTestCase):
     async def test_repeats_stop_when_the_budget_is_spent(self):
-        """All targets refuse all requests; callers keep asking.
-
-        Each instance sends its share of repeats and then none, so that the
-        load on the targets does not double just when they have no room.
-        """
+        """Retries must not double the load on targets that are all full."""
         system = await fixtures.start_system(self, engines=1)
         for target in system.targets.values():
             target.always = Fault.REFUSE
--- a/copperloom/ingress/tests/test_mechanisms.py
+++ b/copperloom/ingress/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism has a switch that stands for something and can be named."""
+"""Tests that each mechanism can be turned off."""
 
 import importlib
 import pathlib
@@ -17,20 +17,20 @@
 
 
 class SwitchTest(unittest.TestCase):
-    def test_each_is_a_constant_that_is_on(self):
+    def test_each_mechanism_is_on_by_default(self):
         for name, switches in mechanisms.MECHANISMS.items():
             for switch in switches:
                 with self.subTest(name):
                     self.assertNotEqual(_constant(switch)[1], switch.off)
 
-    def test_turned_off(self):
+    def test_turn_off_sets_the_constant(self):
         switch = mechanisms.MECHANISMS["gathering"][0]
         module, value = _constant(switch)
         with mock.patch.object(module, switch.constant, value):
             mechanisms.turn_off(("gathering",))
             self.assertEqual(_constant(switch)[1], switch.off)
 
-    def test_settings_name_them(self):
+    def test_settings_accept_known_mechanisms_only(self):
         self.assertEqual(self._load("waiting, parts"), ("waiting", "parts"))
         with self.assertRaises(exception.SettingsError):
             self._load("waiting, luck")
@@ -39,5 +39,5 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "front.ini"
             path.write_text(f"[decisions]\ndisable = {names}\n")
-            own = settings.load(str(path), front.FrontSettings)
-        return own.decisions.disable
+            loaded = settings.load(str(path), front.FrontSettings)
+        return loaded.decisions.disable
--- a/copperloom/ingress/tests/test_placement.py
+++ b/copperloom/ingress/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement among running targets, as far as it is not a pure decision."""
+"""Tests the waiting of requests for placement, with running targets."""
 
 import asyncio
 import unittest
@@ -9,34 +9,33 @@
 
 
 class WaitingTest(unittest.IsolatedAsyncioTestCase):
-    async def test_prompt_waits_and_is_served(self):
-        """Engines come free within a moment; the prompt is held that long."""
+    async def test_prompt_is_deferred_until_engines_are_free(self):
         system = await fixtures.start_system(self, engines=2)
-        waits = mock.Mock(side_effect=[0.2, 0.1, 0.0])
-        begun = asyncio.get_running_loop().time()
-        with mock.patch.object(deferral, "defer_s", waits):
+        delays = mock.Mock(side_effect=[0.2, 0.1, 0.0])
+        started_at = asyncio.get_running_loop().time()
+        with mock.patch.object(deferral, "defer_s", delays):
             answer = await fixtures.call(system, "/chat/x", prompt=60_000)
-        took = asyncio.get_running_loop().time() - begun
+        elapsed_s = asyncio.get_running_loop().time() - started_at
         self.assertEqual(answer.status, 200)
-        self.assertEqual(waits.call_count, 3)
-        self.assertGreater(took, 0.3)
+        self.assertEqual(delays.call_count, 3)
+        self.assertGreater(elapsed_s, 0.3)
 
-    async def test_caller_that_leaves_meanwhile(self):
-        """The caller leaves while its prompt waits; nothing is sent."""
+    async def test_deferred_prompt_is_dropped_when_its_caller_disconnects(self):
+        """A prompt must not be sent after its caller has disconnected."""
         system = await fixtures.start_system(self, engines=1)
         with mock.patch.object(deferral, "defer_s", return_value=0.1):
-            asking = asyncio.ensure_future(
+            calling = asyncio.ensure_future(
                 fixtures.call(system, "/chat/x", prompt=60_000)
             )
             await asyncio.sleep(0.3)
-            asking.cancel()
+            calling.cancel()
             await asyncio.sleep(0.3)
         entry = system.fronts[0].entry
         self.assertEqual(entry.active, 0)
         self.assertEqual(system.targets["engine-0"].seen, [])
 
-    async def test_wait_ends_with_the_time_limit(self):
-        """A wait that never ends must not outlast the caller's patience."""
+    async def test_deferral_ends_at_the_time_limit(self):
+        """Repeated deferrals must not exceed the caller's time limit."""
         system = await fixtures.start_system(self, engines=1)
         with mock.patch.object(deferral, "defer_s", return_value=0.1):
             answer = await fixtures.call(
--- a/copperloom/ingress/tests/test_placement_rpc.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -1,4 +1,4 @@
-"""A fleet large enough to have owners, as running instances."""
+"""Tests placement by shard owners in a large fleet of running instances."""
 
 import asyncio
 import time
@@ -10,17 +10,17 @@
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins import target as target_standin
 
-# One more than in a small fleet, and some that may be lost.
+# Stays a large fleet if some instances are lost.
 _FRONTS = shards.MAX_SMALL_FLEET + 4
 _LIMIT_S = 20.0
-_AWAY_S = 4.0
+_WAIT_S = 4.0
 
 
 async def _start_fleet(case, data_centres=("a",), **changes) -> fixtures.System:
-    """Starts a large fleet; returns it once its instances know owners."""
-    few = mock.patch.object(shards, "MIN_SHARD_TARGETS", 1)
-    few.start()
-    case.addCleanup(few.stop)
+    """Starts a large fleet; returns it once all instances know the owners."""
+    small_shards = mock.patch.object(shards, "MIN_SHARD_TARGETS", 1)
+    small_shards.start()
+    case.addCleanup(small_shards.stop)
     system = await fixtures.start_system(case, fronts=0, **changes)
     for number in range(_FRONTS):
         data_centre = data_centres[number % len(data_centres)]
@@ -35,13 +35,13 @@
         limit_s=_LIMIT_S,
     )
     await fixtures.until(
-        lambda: all(_hears_owners(f.entry) for f in system.fronts),
+        lambda: all(_knows_live_owners(f.entry) for f in system.fronts),
         limit_s=_LIMIT_S,
     )
     return system
 
 
-def _hears_owners(entry) -> bool:
+def _knows_live_owners(entry) -> bool:
     now = asyncio.get_running_loop().time()
     own = entry.settings
     order = placement_rpc.order_of(
@@ -59,82 +59,74 @@
     return placement_rpc.order_of(entry, shards.Shard("engines", "a"))
 
 
-def _number(system: fixtures.System, name: str) -> int:
+def _index(system: fixtures.System, name: str) -> int:
     names = [f.entry.settings.instance for f in system.fronts]
     return names.index(name)
 
 
 def _silence(system: fixtures.System, name: str) -> None:
-    """Makes an instance's datagrams vanish, both ways."""
-    gossip = system.fronts[_number(system, name)].gossip
+    """Drops all datagrams to and from an instance."""
+    gossip = system.fronts[_index(system, name)].gossip
     gossip.datagram_received = lambda data, addr: None
     gossip.send = lambda data, address: None
     gossip.state.send = gossip.send
 
 
 class LargeFleetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_owner_places_for_all(self):
-        """As many short prompts come at once as all engines have slots.
-
-        Each instance alone takes all engines for idle; some engines would get
-        more than they work on at once, and their callers would wait for an
-        answer to end.
-        """
+    async def test_owner_spreads_simultaneous_prompts_of_all_instances(self):
+        """Instances that place independently would overload some engines."""
         system = await _start_fleet(self, engines=4)
         for target in system.targets.values():
             target.pause_s = 0.5
         slots = fixtures.ENGINE["slots"]
-        asking = [
+        calling = [
             fixtures.call(system, "/chat/x", prompt=5000, number=n % _FRONTS)
             for n in range(4 * slots)
         ]
-        # All instances of the test share one loop, so owners answer late, and
-        # askers tell late that they have sent what was placed for them.
+        # All instances share one event loop, which delays both the owners'
+        # replies and the reports of requests that were sent.
         with (
             mock.patch.object(placement_rpc, "QUERY_TIMEOUT_S", 2.0),
             mock.patch.object(inflight_table, "PENDING_S", 5.0),
         ):
-            answers = await asyncio.gather(*asking)
+            answers = await asyncio.gather(*calling)
         self.assertEqual({a.status for a in answers}, {200})
         seen = [len(system.targets[f"engine-{n}"].seen) for n in range(4)]
         self.assertEqual(seen, [slots] * 4)
 
-    async def test_target_that_refuses_all(self):
-        """An idle engine refuses whatever comes, and looks best for it.
+    async def test_owner_avoids_target_that_refuses_all_requests(self):
+        """An engine that refuses everything is idle and so looks best.
 
-        Each request is another instance's, which meets the engine for the
-        first time. Their owner has to learn from the first few.
+        Each request comes from another instance, which has not yet seen it
+        fail.
         """
         system = await _start_fleet(self, engines=2)
-        broken = system.targets["engine-0"]
-        broken.always = target_standin.Fault.REFUSE
+        refusing = system.targets["engine-0"]
+        refusing.always = target_standin.Fault.REFUSE
         answers = [
             await fixtures.call(system, "/chat/x", prompt=5000, number=number)
             for number in range(_FRONTS)
         ]
-        self.assertLess(len(broken.seen), 5)
-        # The fleet's budget allows an instance less than one repeat here.
+        self.assertLess(len(refusing.seen), 5)
+        # The retry budget does not cover a retry for every instance.
         served = sum(a.status == 200 for a in answers)
         self.assertGreater(served, _FRONTS - 5)
 
-    async def test_instances_that_place_alone_choose_differently(self):
-        """No owner answers anyone; each places by what it knows itself.
-
-        If all took the first of engines that look alike, all would wait there.
-        """
+    async def test_instances_without_owners_choose_different_engines(self):
+        """If all chose the first of equal engines, they would overload it."""
         system = await _start_fleet(self, engines=4)
         for name in _order(system)[: shards.OWNERS]:
             _silence(system, name)
-        asking = [
+        calling = [
             fixtures.call(system, "/chat/x", prompt=5000, number=n)
             for n in range(_FRONTS)
         ]
-        await asyncio.gather(*asking)
+        await asyncio.gather(*calling)
         seen = [len(system.targets[f"engine-{n}"].seen) for n in range(4)]
         self.assertLess(max(seen), _FRONTS * 0.7)
 
-    async def test_idle_fleet_tells_owners_only(self):
-        """No message goes from all to all: beats to owners, and answers."""
+    async def test_idle_fleet_sends_digests_to_owners_only(self):
+        """The number of messages must not grow with the square of the fleet."""
         system = await _start_fleet(self, engines=1)
         await asyncio.sleep(2.0)
         sent = []
@@ -147,80 +139,73 @@
         self.assertLessEqual(len(sent), _FRONTS * shards.OWNERS)
         self.assertLessEqual(len(set(sent)), shards.OWNERS)
 
-    async def test_news_need_no_answer(self):
-        """A change is passed on to all that were heard of late.
+    async def test_silence_after_an_update_is_no_failure(self):
+        """Members that need not reply must not be considered dead.
 
-        They may owe nothing and stay silent; taken for dead, they would be
-        passed over when the owners die.
+        They would be skipped as successors if the owners fail.
         """
         system = await _start_fleet(self, engines=1)
         system.store.put("op", "config", fixtures.routes(6))
         await asyncio.sleep(members.SKIP_AFTER_S + 1.0)
         now = asyncio.get_running_loop().time()
-        passed_over = [
+        skipped = [
             m.instance
             for f in system.fronts
             for m in f.entry.members.values()
             if members.is_skipped(m, now)
         ]
-        self.assertEqual(passed_over, [])
-
-    async def test_silent_owner_costs_its_callers_little(self):
-        """The first owner freezes while its members ask it.
+        self.assertEqual(skipped, [])
 
-        A caller gets its answer from a place that the second owner gives; the
-        first one is asked again only when it is heard.
-        """
+    async def test_second_owner_places_if_the_first_is_silent(self):
+        """A frozen owner must not delay requests, and later ones skip it."""
         system = await _start_fleet(self, engines=2)
         order = _order(system)
         _silence(system, order[0])
-        asker = _number(system, order[-1])
-        begun = time.monotonic()
+        sender = _index(system, order[-1])
+        started_at = time.monotonic()
         answer = await fixtures.call(
-            system, "/chat/x", prompt=5000, number=asker
+            system, "/chat/x", prompt=5000, number=sender
         )
         self.assertEqual(answer.status, 200)
-        self.assertLess(time.monotonic() - begun, 1.0)
-        entry = system.fronts[asker].entry
-        suspect = entry.members[order[0]].suspect_until
-        self.assertGreater(suspect, asyncio.get_running_loop().time())
-        asked = members.owners_to_query(
+        self.assertLess(time.monotonic() - started_at, 1.0)
+        entry = system.fronts[sender].entry
+        suspect_until = entry.members[order[0]].suspect_until
+        self.assertGreater(suspect_until, asyncio.get_running_loop().time())
+        queried = members.owners_to_query(
             order, entry.members, order[-1], asyncio.get_running_loop().time()
         )
-        self.assertEqual(asked[0].instance, order[1])
+        self.assertEqual(queried[0].instance, order[1])
 
-    async def test_all_owners_silent(self):
-        """Nobody answers: the request is placed by what is known here."""
+    async def test_request_is_placed_locally_if_all_owners_are_silent(self):
         system = await _start_fleet(self, engines=2)
         order = _order(system)
         for name in order[: shards.OWNERS]:
             _silence(system, name)
-        asker = _number(system, order[-1])
+        sender = _index(system, order[-1])
         answer = await fixtures.call(
-            system, "/chat/x", prompt=5000, number=asker
+            system, "/chat/x", prompt=5000, number=sender
         )
         self.assertEqual(answer.status, 200)
 
-    async def test_next_owner_knows_the_work(self):
-        """The first owner dies; the second must not take engines for idle."""
+    async def test_second_owner_knows_the_work_in_progress(self):
+        """A new owner must not consider busy engines idle."""
         system = await _start_fleet(self, engines=2)
         for target in system.targets.values():
             target.pause_s = 1.0
         order = _order(system)
-        asker = _number(system, order[-1])
-        asking = asyncio.ensure_future(
-            fixtures.call(system, "/chat/x", prompt=60_000, number=asker)
+        sender = _index(system, order[-1])
+        calling = asyncio.ensure_future(
+            fixtures.call(system, "/chat/x", prompt=60_000, number=sender)
         )
         await asyncio.sleep(0.3)
-        second = system.fronts[_number(system, order[1])].entry
+        successor = system.fronts[_index(system, order[1])].entry
         loads = inflight_table.loads(
-            second.inflight, asyncio.get_running_loop().time()
+            successor.inflight, asyncio.get_running_loop().time()
         )
         self.assertEqual(sum(load.requests for load in loads.values()), 1)
-        self.assertEqual((await asking).status, 200)
+        self.assertEqual((await calling).status, 200)
 
-    async def test_change_reaches_all(self):
-        """Operators write a change; two of the fleet read it, all obey it."""
+    async def test_configuration_change_reaches_all_instances(self):
         system = await _start_fleet(self, engines=1)
         system.store.put("op", "config", fixtures.routes(6))
         await fixtures.until(
@@ -229,21 +214,19 @@
         )
 
 
-class TableAwayTest(unittest.IsolatedAsyncioTestCase):
-    async def test_only_owners_ask_while_the_table_is_away(self):
-        """The table answers nobody for some seconds.
+class TableOutageTest(unittest.IsolatedAsyncioTestCase):
+    async def test_few_instances_call_the_table_service_while_it_is_down(self):
+        """An outage must not make the whole fleet call the table service.
 
-        Each instance took its turn after those that said so, and in the end
-        all of a large fleet called it again and again. A change made when it
-        is back still reaches all.
+        A change made after the outage must still reach all instances.
         """
         system = await _start_fleet(self)
-        before = sum(system.store.calls.values())
+        calls_before = sum(system.store.calls.values())
         system.store.down = 503
         system.store._wake()
-        await asyncio.sleep(_AWAY_S)
-        calls = sum(system.store.calls.values()) - before
-        self.assertLess(calls, _FRONTS * _AWAY_S)
+        await asyncio.sleep(_WAIT_S)
+        calls = sum(system.store.calls.values()) - calls_before
+        self.assertLess(calls, _FRONTS * _WAIT_S)
         system.store.down = None
         system.store.put("op", "config", fixtures.routes(5))
         await fixtures.until(
@@ -253,45 +236,43 @@
 
 
 class TwoDataCentresTest(unittest.IsolatedAsyncioTestCase):
-    async def test_idle_instance_asks_a_far_owner(self):
-        """Both data centres are one shard, and an instance had no callers.
+    async def test_idle_instance_queries_owner_in_another_data_centre(self):
+        """An instance without recent requests must still reach its owner.
 
-        The owner stands in the other data centre; the first caller's prompt
-        is placed by it all the same, who knows what the others have placed.
+        Without the owner it would place without knowing the others' work.
         """
-        near = mock.patch.object(shards, "has_low_latency", return_value=True)
-        near.start()
-        self.addCleanup(near.stop)
+        low_latency = mock.patch.object(
+            shards, "has_low_latency", return_value=True
+        )
+        low_latency.start()
+        self.addCleanup(low_latency.stop)
         system = await _start_fleet(self, ("a", "b"), engines=4)
         entry = system.fronts[0].entry
         order = placement_rpc.order_of(entry, shards.Shard("engines"))
-        first = entry.members.get(order[0], entry.settings)
-        asker = next(
+        owner = entry.members.get(order[0], entry.settings)
+        sender = next(
             n
             for n, f in enumerate(system.fronts)
-            if f.entry.settings.data_centre != first.data_centre
+            if f.entry.settings.data_centre != owner.data_centre
         )
-        await asyncio.sleep(_AWAY_S)
-        await fixtures.call(system, "/chat/x", prompt=5000, number=asker)
-        asked = system.fronts[asker].entry.metrics.owner_queries
-        self.assertEqual(asked.labels("answered")._value.get(), 1)
-
-    async def test_full_data_centre(self):
-        """All engines of a data centre are taken; another's are idle.
+        await asyncio.sleep(_WAIT_S)
+        await fixtures.call(system, "/chat/x", prompt=5000, number=sender)
+        queries = system.fronts[sender].entry.metrics.owner_queries
+        self.assertEqual(queries.labels("answered")._value.get(), 1)
 
-        A request that waited for a slot would come late.
-        """
+    async def test_request_spills_over_from_full_data_centre(self):
+        """A request must not wait for a slot while another centre is idle."""
         system = await _start_fleet(self, ("a", "b"), engines=1)
         await system.add_target("far", "engines", zone="b")
         await fixtures.until(
             lambda: all("far" in f.entry.targets.entries for f in system.fronts)
         )
         now = asyncio.get_running_loop().time()
-        full = [
+        work = [
             inflight.Work("engine-0", 0.1, True, 5000, 0.25, now, decoding=True)
             for _ in range(fixtures.ENGINE["slots"])
         ]
-        inflight_table.begin(system.fronts[0].entry.inflight, "q1", full)
+        inflight_table.begin(system.fronts[0].entry.inflight, "q1", work)
         await asyncio.sleep(2.0)
         answer = await fixtures.call(
             system, "/chat/x", prompt=5000, number=_FRONTS - 2
@@ -301,21 +282,16 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_instance_that_starts_hears_before_it_places(self):
-        """An instance starts again while its callers wait at its door.
-
-        Three of four engines are busy with prompts that others have placed.
-        The instance asks what is under way before it sends its first request;
-        else it takes all four for idle, and its caller waits behind others.
-        """
+    async def test_starting_instance_learns_work_before_it_places(self):
+        """A restarted instance must not consider its peers' engines idle."""
         for _ in range(4):
             system = await fixtures.start_system(self, engines=4, fronts=2)
             now = asyncio.get_running_loop().time()
-            busy = [
+            work = [
                 inflight.Work(f"engine-{n}", 5.0, True, 60_000, 0.25, now)
                 for n in range(3)
             ]
-            inflight_table.begin(system.fronts[0].entry.inflight, "q1", busy)
+            inflight_table.begin(system.fronts[0].entry.inflight, "q1", work)
             await asyncio.sleep(0.6)
             await system.add_front()
             answer = await fixtures.call(
--- a/copperloom/ingress/tests/test_relay.py
+++ b/copperloom/ingress/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers send and get goes through unchanged."""
+"""Tests that requests and answers are relayed unchanged."""
 
 import unittest
 
@@ -19,20 +19,20 @@
         self.assertEqual(seen.body, body)
         self.assertEqual(seen.id, answer.id)
 
-    async def test_body_in_chunks(self):
+    async def test_chunked_body_is_relayed(self):
         system = await fixtures.start_system(self, plain=1)
 
-        async def parts():
+        async def chunks():
             yield b"one"
             yield b"two"
 
-        answer = await fixtures.call(system, "/write/x", body=parts())
+        answer = await fixtures.call(system, "/write/x", body=chunks())
         self.assertEqual(answer.status, 200)
         self.assertEqual(system.targets["plain-0"].seen[0].body, b"onetwo")
 
-    async def test_key_and_reserved_headers_are_not_passed_on(self):
+    async def test_key_and_reserved_headers_are_removed(self):
         system = await fixtures.start_system(self, plain=1)
-        given = {
+        sent = {
             wire.ORGANISATION: "other",
             wire.TARGET: "other",
             wire.HELPERS: "127.0.0.1:1",
@@ -40,7 +40,7 @@
             "Connection": "X-Hop",
             "X-Hop": "dropped",
         }
-        await fixtures.call(system, "/write/x", headers=given)
+        await fixtures.call(system, "/write/x", headers=sent)
         headers = system.targets["plain-0"].seen[0].headers
         self.assertEqual(headers[wire.ORGANISATION], "lounge")
         self.assertEqual(headers[wire.TARGET], "plain-0")
@@ -48,15 +48,15 @@
         for name in (wire.KEY, wire.HELPERS, "X-Hop"):
             self.assertNotIn(name, headers)
 
-    async def test_time_left_shrinks(self):
+    async def test_remaining_time_is_sent_to_the_target(self):
         system = await fixtures.start_system(self, plain=1)
         await fixtures.call(system, "/write/x", wait_ms=900)
         headers = system.targets["plain-0"].seen[0].headers
-        left = int(headers[wire.LEFT])
-        self.assertLessEqual(left, 900)
-        self.assertGreater(left, 700)
+        left_ms = int(headers[wire.LEFT])
+        self.assertLessEqual(left_ms, 900)
+        self.assertGreater(left_ms, 700)
 
-    async def test_failure_of_a_target_keeps_its_seal(self):
+    async def test_server_error_is_relayed_with_its_seal(self):
         system = await fixtures.start_system(self, plain=1)
         system.targets["plain-0"].always = Fault.FAIL
         answer = await fixtures.call(system, "/write/x")
@@ -64,22 +64,22 @@
         self.assertIn(wire.SEAL, answer.headers)
         self.assertEqual(answer.body, b"failed")
 
-    async def test_answer_without_a_length(self):
+    async def test_answer_without_content_length_is_relayed(self):
         system = await fixtures.start_system(self, plain=1)
         system.targets["plain-0"].always = Fault.UNFRAMED
         answer = await fixtures.call(system, "/write/x")
         self.assertEqual(answer.status, 200)
         self.assertEqual(answer.body, f"plain-0 did {answer.id}".encode())
 
-    async def test_stream_is_whole_and_in_order(self):
+    async def test_stream_is_complete_and_in_order(self):
         system = await fixtures.start_system(self)
         answer = await fixtures.call(system, "/chat/x", prompt=5000)
         events = answer.body.decode().split("\n\n")[:-1]
-        wanted = [f"id: {n}\ndata: piece {n}" for n in range(1, 6)]
-        self.assertEqual(events, wanted)
+        expected = [f"id: {n}\ndata: piece {n}" for n in range(1, 6)]
+        self.assertEqual(events, expected)
         self.assertTrue(answer.whole)
 
-    async def test_caller_resumes_its_stream(self):
+    async def test_caller_resumes_stream_after_last_event_id(self):
         system = await fixtures.start_system(self)
         answer = await fixtures.call(
             system, "/chat/x", prompt=5000, headers={"Last-Event-Id": "3"}
@@ -88,16 +88,18 @@
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_unknown_route_key_and_long_body(self):
+    async def test_unknown_route_unknown_key_and_large_body_are_refused(self):
         system = await fixtures.start_system(self, plain=1)
-        nowhere = await fixtures.call(system, "/nowhere/x")
-        self.assertEqual(nowhere.status, 404)
-        stranger = await fixtures.call(
+        unknown_route = await fixtures.call(system, "/nowhere/x")
+        self.assertEqual(unknown_route.status, 404)
+        unknown_key = await fixtures.call(
             system, "/write/x", headers={wire.KEY: "none"}
         )
-        self.assertEqual(stranger.status, 401)
-        long = await fixtures.call(system, "/write/x", body=b"x" * 100_001)
-        self.assertEqual(long.status, 413)
+        self.assertEqual(unknown_key.status, 401)
+        large_body = await fixtures.call(
+            system, "/write/x", body=b"x" * 100_001
+        )
+        self.assertEqual(large_body.status, 413)
         self.assertEqual(system.targets["plain-0"].seen, [])
 
     async def test_public_route_needs_no_key(self):
@@ -115,7 +117,7 @@
         headers = system.targets["plain-0"].seen[0].headers
         self.assertNotIn(wire.ORGANISATION, headers)
 
-    async def test_longest_prefix_wins(self):
+    async def test_longest_matching_prefix_selects_the_route(self):
         system = await fixtures.start_system(self)
         inner = fixtures.engine_route("/read/chat/")
         system.store.put("op", "config", fixtures.routes(2, [inner]))
--- a/copperloom/ingress/tests/test_reserve.py
+++ b/copperloom/ingress/tests/test_reserve.py
@@ -1,4 +1,4 @@
-"""Prompts larger than one engine's memory."""
+"""Tests memory reservations for prompts that exceed one engine's memory."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ReserveTest(unittest.IsolatedAsyncioTestCase):
-    async def test_large_prompt_gets_memory_and_gives_it_back(self):
+    async def test_memory_is_reserved_and_released(self):
         system = await fixtures.start_system(self, engines=4)
         answer = await fixtures.call(system, "/long/x", prompt=5000)
         self.assertEqual(answer.status, 404)
@@ -29,12 +29,8 @@
             lambda: not any(t.memory for t in system.targets.values())
         )
 
-    async def test_all_or_none(self):
-        """One of the engines has no memory left.
-
-        What the others granted is given back at once, and nothing stays set
-        aside while the request waits.
-        """
+    async def test_partial_reservation_is_released(self):
+        """Memory must not stay reserved if another engine refuses its share."""
         system = await fixtures.start_system(self, engines=2)
         long = fixtures.engine_route(
             "/long/", target_latency_ms=60_000, timeout_ms=3000
@@ -53,5 +49,5 @@
             lambda: not any(t.memory for t in system.targets.values())
         )
 
-    def test_lease_outlives_two_lost_orders(self):
+    def test_lease_outlasts_two_lost_renewals(self):
         self.assertGreater(reserve.LEASE_S, 3 * reserve.RENEW_INTERVAL_S)
--- a/copperloom/ingress/tests/test_stop.py
+++ b/copperloom/ingress/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops cut nothing."""
+"""Tests that a planned stop of an instance interrupts no request."""
 
 import asyncio
 import unittest
@@ -11,10 +11,9 @@
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
     async def test_requests_in_progress_are_finished(self):
-        """The platform stops an instance that streams an answer.
+        """A stop must not cut a stream, nor refuse requests too early.
 
-        It is not ready at once, still accepts while the balancer learns that,
-        and ends when the stream has ended.
+        The load balancer still sends requests until it sees the readiness.
         """
         system = await fixtures.start_system(self)
         for target in system.targets.values():
@@ -28,36 +27,32 @@
         stopping = asyncio.ensure_future(system.fronts[0].stop())
         await fixtures.until(lambda: system.fronts[0].entry.draining)
         self.assertEqual(await fixtures.ready(system), 503)
-        late = await fixtures.call(system, "/write/x")
-        self.assertEqual(late.status, 200)
-        self.assertEqual(late.headers.get("Connection"), "close")
+        later = await fixtures.call(system, "/write/x")
+        self.assertEqual(later.status, 200)
+        self.assertEqual(later.headers.get("Connection"), "close")
         answer = await stream
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body.count(b"id: "), 5)
         await stopping
 
-    async def test_silent_target_is_answered_for_before_the_end(self):
-        """A target keeps silent until the instance that asked it ends.
-
-        The caller was cut off: it learnt nothing, and no sooner than that.
-        """
+    async def test_request_to_silent_target_gets_504_before_the_stop(self):
+        """A request in progress at the stop must get an error, not a cut."""
         system = await fixtures.start_system(self, engines=1)
         system.targets["engine-0"].always = target_standin.Fault.MUTE
-        asked = asyncio.ensure_future(
+        calling = asyncio.ensure_future(
             fixtures.call(system, "/chat/x", prompt=5000, wait_ms=9000)
         )
         await fixtures.until(lambda: system.targets["engine-0"].seen)
         stopping = asyncio.ensure_future(system.fronts[0].stop())
-        answer = await asked
+        answer = await calling
         self.assertEqual(answer.status, 504)
         self.assertFalse(stopping.done())
         await stopping
 
-    async def test_prompt_that_would_be_read_too_long_is_handed_back(self):
-        """An instance that stops has a second left, a prompt takes longer.
+    async def test_prompt_with_too_long_prefill_is_refused_while_draining(self):
+        """A prompt must not begin if the instance ends during its prefill.
 
-        Begun, it would be cut off; handed back at once, its caller has time
-        for another instance, and is told that it has not run.
+        A 503 at once leaves its caller time for another instance.
         """
         system = await fixtures.start_system(self, engines=1)
         stopping = asyncio.ensure_future(system.fronts[0].stop())
@@ -68,12 +63,8 @@
         self.assertEqual(system.targets["engine-0"].seen, [])
         await stopping
 
-    async def test_idle_connection_is_closed_before_the_end(self):
-        """A caller keeps an idle connection open across the stop.
-
-        It is closed while the instance still runs, so that the caller's next
-        request goes elsewhere and is not taken by a process about to die.
-        """
+    async def test_idle_connection_is_closed_before_the_stop(self):
+        """A request on an idle connection must not reach an ending process."""
         system = await fixtures.start_system(self, plain=1)
         address = system.fronts[0].entry.settings.callers_listen
         host, _, port = address.rpartition(":")
@@ -88,7 +79,7 @@
         writer.close()
         await stopping
 
-    async def test_row_of_the_member_goes(self):
+    async def test_member_row_is_removed(self):
         system = await fixtures.start_system(self)
         front = system.fronts[0]
         name = front.entry.settings.instance
--- a/copperloom/ingress/tests/test_views.py
+++ b/copperloom/ingress/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What operators see of an instance on its internal port."""
+"""Tests what an instance shows to operators on its internal port."""
 
 import contextlib
 import io
@@ -23,7 +23,7 @@
 
 
 class ViewsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_status(self):
+    async def test_status_shows_versions_targets_and_members(self):
         system = await fixtures.start_system(self, fronts=2, plain=2)
         address = system.fronts[0].metrics_address
         answer = await fronts.ask(address, "status")
@@ -34,8 +34,7 @@
         text = fronts.status(answer)
         self.assertIn("routes: version 1", text)
 
-    async def test_explain(self):
-        """Each way in which a request can go, and be refused, has its word."""
+    async def test_explain_shows_route_or_refusal(self):
         system = await fixtures.start_system(self, plain=1)
         address = system.fronts[0].metrics_address
 
@@ -44,12 +43,12 @@
                 address, "explain", host=fixtures.HOST, path=path, key=key
             )
 
-        good = await ask("/write/x")
-        self.assertEqual(good["route"]["name"], "r/write/")
-        self.assertEqual(good["organisation"], "lounge")
-        self.assertEqual(good["services"][0]["targets"], 1)
-        self.assertNotIn("refused", good)
-        self.assertIn("organisation lounge", fronts.explained(good))
+        found = await ask("/write/x")
+        self.assertEqual(found["route"]["name"], "r/write/")
+        self.assertEqual(found["organisation"], "lounge")
+        self.assertEqual(found["services"][0]["targets"], 1)
+        self.assertNotIn("refused", found)
+        self.assertIn("organisation lounge", fronts.explained(found))
         unknown = await ask("/nowhere/x")
         self.assertEqual(unknown["refused"], "UnknownDeployment")
         self.assertEqual(
@@ -60,34 +59,34 @@
         await fixtures.until(lambda: "plain-0" not in entry.targets.entries)
         self.assertEqual((await ask("/write/x"))["refused"], "NoTarget")
 
-    async def test_nothing_known_yet(self):
+    async def test_explain_before_routes_are_known(self):
         system = await fixtures.start_system(self, fronts=0)
         system.store.down = 503
         await system.add_front()
-        told = views.explain(system.fronts[0].entry, "h", "/x/", "", 0.0)
-        self.assertEqual(told["refused"], "StaleConfiguration")
+        explained = views.explain(system.fronts[0].entry, "h", "/x/", "", 0.0)
+        self.assertEqual(explained["refused"], "StaleConfiguration")
 
-    async def test_metrics(self):
+    async def test_metrics_show_state_and_requests(self):
         system = await fixtures.start_system(self, fronts=2, plain=1)
         await fixtures.call(system, "/write/x")
         await fixtures.call(system, "/chat/x", prompt=4000)
-        seen = await _metrics(system)
-        self.assertEqual(seen["copperloom_version", "routes"], 1)
-        self.assertEqual(seen["copperloom_targets", "plain", "ready"], 1)
-        self.assertEqual(seen["copperloom_members", "live"], 1)
-        self.assertGreater(seen["copperloom_repeats_left", "plain"], 1)
+        samples = await _metrics(system)
+        self.assertEqual(samples["copperloom_version", "routes"], 1)
+        self.assertEqual(samples["copperloom_targets", "plain", "ready"], 1)
+        self.assertEqual(samples["copperloom_members", "live"], 1)
+        self.assertGreater(samples["copperloom_repeats_left", "plain"], 1)
         self.assertGreater(
-            seen["copperloom_store_calls_total", "200", "rows-get"], 0
+            samples["copperloom_store_calls_total", "200", "rows-get"], 0
         )
         self.assertEqual(
-            seen["copperloom_first_byte_seconds_count", "short", "stream"], 1
+            samples["copperloom_first_byte_seconds_count", "short", "stream"], 1
         )
-        self.assertEqual(seen["copperloom_log_lines_dropped_total",], 0)
-        self.assertIn(("copperloom_version_age_seconds", "targets"), seen)
+        self.assertEqual(samples["copperloom_log_lines_dropped_total",], 0)
+        self.assertIn(("copperloom_version_age_seconds", "targets"), samples)
 
 
 class CommandTest(unittest.TestCase):
-    def test_instance_that_does_not_answer(self):
+    def test_unreachable_instance_is_reported(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err):
             status = operator.main(["front", "status", "127.0.0.1:9"])
