--- a/copperloom/ingress/local_placement.py
+++ b/copperloom/ingress/local_placement.py
@@ -71,7 +71,7 @@
 def busy_by_service(state: IngressState, now: float) -> dict[str, float]:
     """Returns the utilisation of the own data centre's targets, by service."""
     own = state.settings.data_centre
-    found = {}
+    utilisations = {}
     for service in registry.services(state.targets):
         usable = registry.usable_by_shard(state.targets, service, now)
         shard = shards.home_shard(service, usable, own)
@@ -81,8 +81,8 @@
         in_shard = shards.targets_in(shard, usable)
         drawn = planner.draw_targets(in_shard, frozenset(), state.rng)
         candidates = _candidates(state, query, drawn, now)
-        found[service] = round(spillover.utilisation(candidates), 3)
-    return found
+        utilisations[service] = round(spillover.utilisation(candidates), 3)
+    return utilisations
 
 
 def _remote_shards(
@@ -91,20 +91,20 @@
     """Lists other shards of a service whose owners reported recently."""
     if not shard.data_centre:
         return []
-    found = {}
+    by_data_centre = {}
     for member in members.live(state.members, now):
         data_centre = member.data_centre
         if data_centre == shard.data_centre or shard.service not in member.busy:
             continue
         if now - member.busy_at > members.MEMBER_TIMEOUT_S:
             continue
-        found[data_centre] = spillover.RemoteShard(
+        by_data_centre[data_centre] = spillover.RemoteShard(
             data_centre,
             member.instance,
             member.datagrams,
             member.busy[shard.service],
         )
-    return list(found.values())
+    return list(by_data_centre.values())
 
 
 def _candidates(
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -40,9 +40,9 @@
 
 
 async def _relay_plain(ex: exchange.Exchange, reply: sender.Reply) -> None:
-    parts = []
-    async for part in reply.response.content.iter_any():
-        parts.append(part)
+    chunks = []
+    async for chunk in reply.response.content.iter_any():
+        chunks.append(chunk)
     reply.check_complete()
     if ex.response is not None:
         # The caller has the start of a stream, which this can't continue.
@@ -53,7 +53,7 @@
     ex.response = web.Response(
         status=reply.status,
         reason=reply.response.reason,
-        body=b"".join(parts),
+        body=b"".join(chunks),
         headers=headers.for_caller(reply.headers.items()),
     )
 
--- a/copperloom/ingress/scrape.py
+++ b/copperloom/ingress/scrape.py
@@ -73,17 +73,17 @@
 
 def _members(state: IngressState, now: float):
     live = live_members(state, now)
-    known = core.GaugeMetricFamily(
+    member_counts = core.GaugeMetricFamily(
         "copperloom_members", "Other instances known.", labels=["state"]
     )
-    known.add_metric(["live"], len(live))
-    known.add_metric(["silent"], len(state.members) - len(live))
+    member_counts.add_metric(["live"], len(live))
+    member_counts.add_metric(["silent"], len(state.members) - len(live))
     oldest = core.GaugeMetricFamily(
         "copperloom_member_age_seconds",
         "Time since the live member was heard that was heard longest ago.",
         value=max((now - m.last_received_at for m in live), default=0.0),
     )
-    return known, oldest
+    return member_counts, oldest
 
 
 def _budget(state: IngressState, now: float):
--- a/copperloom/ingress/tests/fixtures.py
+++ b/copperloom/ingress/tests/fixtures.py
@@ -243,14 +243,14 @@
         status: The HTTP status.
         body: The bytes received, possibly truncated.
         headers: The headers.
-        whole: Whether the answer is complete.
+        complete: Whether the answer was not truncated.
         id: Id of the request.
     """
 
     status: int
     body: bytes
     headers: dict[str, str]
-    whole: bool
+    complete: bool
     id: str
 
 
@@ -275,14 +275,14 @@
     async with system.session.request(
         method, url, headers=sent, data=body if method != "GET" else None
     ) as resp:
-        whole = True
+        complete = True
         try:
             async for chunk in resp.content.iter_any():
                 received += chunk
         except aiohttp.ClientError:
-            whole = False
+            complete = False
         return Answer(
-            resp.status, received, dict(resp.headers), whole, request_id
+            resp.status, received, dict(resp.headers), complete, request_id
         )
 
 
--- a/copperloom/ingress/tests/test_failures.py
+++ b/copperloom/ingress/tests/test_failures.py
@@ -53,7 +53,7 @@
                 self.assertEqual(_runs(system, answer), 0)
 
     async def test_silent_target_yields_504_at_the_time_limit(self):
-        """A silent target must not hold its caller, nor work on for nobody."""
+        """A silent target must neither hold its caller nor keep running."""
         system = await fixtures.start_system(self, engines=1, plain=1)
         target = system.targets["plain-0"]
         target.always = Fault.MUTE
@@ -125,7 +125,7 @@
                     f"id: {n}\ndata: piece {n}\n\n" for n in range(1, 6)
                 )
                 self.assertEqual(answer.body.decode(), expected)
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.complete)
 
     async def _call_until_one_fails(self, system):
         task = asyncio.ensure_future(
@@ -144,7 +144,7 @@
         for target in system.targets.values():
             target.always = Fault.BREAK
         answer = await fixtures.call(system, "/once/x", prompt=5000)
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(_runs(system, answer), 1)
 
     async def test_stalled_stream_is_resumed_at_another_engine(self):
@@ -159,7 +159,7 @@
         frozen = next(t for t in system.targets.values() if t.running)
         frozen.pause_s = 60.0
         answer = await task
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(answer.body.count(b"id: "), 5)
 
     async def test_stalled_stream_is_kept_if_no_retry_is_allowed(self):
@@ -176,7 +176,7 @@
             target.pause_s = 2.0
         await fixtures.until(lambda: all(t.seen for t in engines))
         answer = await task
-        self.assertTrue(answer.whole or answer.status == 200)
+        self.assertTrue(answer.complete or answer.status == 200)
         self.assertEqual(len(engines[0].seen) + len(engines[1].seen), 2)
         self.assertGreaterEqual(answer.body.count(b"id: "), 2)
 
--- a/copperloom/ingress/tests/test_relay.py
+++ b/copperloom/ingress/tests/test_relay.py
@@ -77,7 +77,7 @@
         events = answer.body.decode().split("\n\n")[:-1]
         expected = [f"id: {n}\ndata: piece {n}" for n in range(1, 6)]
         self.assertEqual(events, expected)
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     async def test_caller_resumes_stream_after_last_event_id(self):
         system = await fixtures.start_system(self)
--- a/copperloom/ingress/tests/test_stop.py
+++ b/copperloom/ingress/tests/test_stop.py
@@ -31,7 +31,7 @@
         self.assertEqual(later.status, 200)
         self.assertEqual(later.headers.get("Connection"), "close")
         answer = await stream
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(answer.body.count(b"id: "), 5)
         await stopping
 
--- a/copperloom/ingress/views.py
+++ b/copperloom/ingress/views.py
@@ -67,16 +67,18 @@
 
 
 def _by_service(state: IngressState, now: float) -> dict[str, dict[str, int]]:
-    found: dict[str, dict[str, int]] = {}
+    by_service: dict[str, dict[str, int]] = {}
     for entry in state.targets.entries.values():
-        counts = found.setdefault(entry.service, {"ready": 0, "draining": 0})
+        counts = by_service.setdefault(
+            entry.service, {"ready": 0, "draining": 0}
+        )
         counts["draining" if entry.draining else "ready"] += 1
-    for service, counts in found.items():
+    for service, counts in by_service.items():
         usable = registry.usable(state.targets, service, now)
         counts["failing"] = sum(
             health.penalty(state.health.get(e.name), now) > 0 for e in usable
         )
-    return found
+    return by_service
 
 
 def explain(
@@ -95,21 +97,21 @@
         Plain JSON values; `refused` names the error that it would get.
     """
     table = state.table
-    found = {"routes_version": table.version, "host": host, "path": path}
+    explanation = {"routes_version": table.version, "host": host, "path": path}
     if not table.version:
-        return found | _refused(exception.StaleConfigurationError)
+        return explanation | _refused(exception.StaleConfigurationError)
     route = routing.match(table, host, path)
     if route is None:
-        return found | _refused(exception.UnknownDeploymentError)
-    found["route"] = msgspec.to_builtins(route)
+        return explanation | _refused(exception.UnknownDeploymentError)
+    explanation["route"] = msgspec.to_builtins(route)
     if table.keyed and not route.public:
         organisation = table.organisations.get(key)
         if organisation is None:
-            return found | _refused(exception.UnknownOrganisationError)
-        found["organisation"] = organisation.name
+            return explanation | _refused(exception.UnknownOrganisationError)
+        explanation["organisation"] = organisation.name
         if organisation.priority is not None:
-            found["priority"] = organisation.priority
-    found["services"] = [
+            explanation["priority"] = organisation.priority
+    explanation["services"] = [
         {
             "service": b.service,
             "weight": b.weight,
@@ -117,9 +119,9 @@
         }
         for b in route.backends
     ]
-    if not any(s["targets"] for s in found["services"]):
-        return found | _refused(exception.NoTargetError)
-    return found
+    if not any(s["targets"] for s in explanation["services"]):
+        return explanation | _refused(exception.NoTargetError)
+    return explanation
 
 
 def _refused(error: type[exception.CopperloomError]) -> dict:
