--- a/copperloom/ingress/exchange.py
+++ b/copperloom/ingress/exchange.py
@@ -40,8 +40,7 @@
         placed_at: Time of the current placement.
         sends: Number of attempts.
         sent_to: Targets of earlier attempts.
-        repeat_granted: Whether the next retry is already taken from the
-            budget.
+        retry_granted: Whether the next retry is already taken from the budget.
         avoid: Targets that are avoided in further placements.
         run: Whether it has run, as far as is known.
         response: The response, once begun.
@@ -77,7 +76,7 @@
         self.placed_at = now
         self.sends = 0
         self.sent_to: set[str] = set()
-        self.repeat_granted = False
+        self.retry_granted = False
         self.avoid: set[str] = set()
         self.run = exception.Run.NOT_RUN
         self.response: web.StreamResponse | None = None
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -37,7 +37,7 @@
 SHORT_PRIORITY = 1
 LONG_PRIORITY = 6
 _REFUSED_RETRY_S = 0.15
-# Memory is freed only when long answers end, far apart.
+# Memory is freed only as long answers end, so a quick retry would fail again.
 _MEMORY_WAIT_S = 0.25
 _MEMORY_RETRY_S = 1.0
 # Share of the remaining time after which a plain request is sent to another
--- a/copperloom/ingress/retry.py
+++ b/copperloom/ingress/retry.py
@@ -20,7 +20,7 @@
     """Returns whether a silent target may be abandoned, and grants a retry."""
     if not ex.route.repeatable or not take_retry(ex):
         return False
-    ex.repeat_granted = True
+    ex.retry_granted = True
     return True
 
 
@@ -35,8 +35,8 @@
     Returns:
         Whether the request may be sent again.
     """
-    if ex.repeat_granted:
-        ex.repeat_granted = False
+    if ex.retry_granted:
+        ex.retry_granted = False
         return True
     again = by_helper and ex.sends < _MAX_ATTEMPTS
     if not again and len(ex.sent_to) >= ex.route.max_attempts:
--- a/copperloom/ingress/sender.py
+++ b/copperloom/ingress/sender.py
@@ -172,7 +172,7 @@
 
 
 async def _head(pending, timeout_s, may_give_up) -> aiohttp.ClientResponse:
-    """Waits for the head of an answer, until the timeout or beyond it."""
+    """Waits for the head of an answer; may continue after the timeout."""
 
     async def wait():
         return await pending
