--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -99,9 +99,9 @@
             logs.event("peer_unreadable", peer=addr[0], error=str(error))
             return
         if isinstance(message, datagrams.PlacementRequest):
-            placement_rpc.answer(self.state, message)
+            placement_rpc.handle_request(self.state, message)
         elif isinstance(message, datagrams.PlacementReply):
-            placement_rpc.take_answer(self.state, message)
+            placement_rpc.handle_reply(self.state, message)
         elif message.sender.instance != self.state.settings.instance:
             _apply_digest(self, message)
 
--- a/copperloom/ingress/views.py
+++ b/copperloom/ingress/views.py
@@ -1,8 +1,8 @@
-"""What an instance tells operators about itself, and how it would route.
+"""Describes an instance's state and its routing to operators.
 
-Answers to questions on the internal port: who it knows, what it goes by and
-how old that is, and which route, organisation and targets a request would
-meet. Nothing here changes anything.
+Serves read-only requests on the internal port: the known members, the versions
+and ages of routes and targets, and the route, organisation and targets that a
+request would get.
 """
 
 import msgspec
@@ -15,7 +15,7 @@
 
 
 def status(state: IngressState, now: float) -> dict:
-    """Tells what the instance goes by, as plain JSON values.
+    """Returns the state of the instance as plain JSON values.
 
     Args:
         state: The instance's state.
@@ -67,22 +67,24 @@
 
 
 def _by_service(state: IngressState, now: float) -> dict[str, dict[str, int]]:
-    found: dict[str, dict[str, int]] = {}
+    by_service: dict[str, dict[str, int]] = {}
     for entry in state.targets.entries.values():
-        counts = found.setdefault(entry.service, {"ready": 0, "draining": 0})
+        counts = by_service.setdefault(
+            entry.service, {"ready": 0, "draining": 0}
+        )
         counts["draining" if entry.draining else "ready"] += 1
-    for service, counts in found.items():
+    for service, counts in by_service.items():
         usable = registry.usable(state.targets, service, now)
         counts["failing"] = sum(
             health.penalty(state.health.get(e.name), now) > 0 for e in usable
         )
-    return found
+    return by_service
 
 
 def explain(
     state: IngressState, host: str, path: str, key: str, now: float
 ) -> dict:
-    """Tells which route, organisation and services a request would meet.
+    """Returns the route, organisation and services for a request.
 
     Args:
         state: The instance's state.
@@ -92,24 +94,24 @@
         now: Monotonic time.
 
     Returns:
-        Plain JSON values; `refused` says why it would get no further.
+        Plain JSON values; `refused` names the error that it would get.
     """
     table = state.table
-    found = {"routes_version": table.version, "host": host, "path": path}
+    explanation = {"routes_version": table.version, "host": host, "path": path}
     if not table.version:
-        return found | _refused(exception.StaleConfigurationError)
+        return explanation | _refused(exception.StaleConfigurationError)
     route = routing.match(table, host, path)
     if route is None:
-        return found | _refused(exception.UnknownDeploymentError)
-    found["route"] = msgspec.to_builtins(route)
+        return explanation | _refused(exception.UnknownDeploymentError)
+    explanation["route"] = msgspec.to_builtins(route)
     if table.keyed and not route.public:
-        holder = table.organisations.get(key)
-        if holder is None:
-            return found | _refused(exception.UnknownOrganisationError)
-        found["organisation"] = holder.name
-        if holder.priority is not None:
-            found["priority"] = holder.priority
-    found["services"] = [
+        organisation = table.organisations.get(key)
+        if organisation is None:
+            return explanation | _refused(exception.UnknownOrganisationError)
+        explanation["organisation"] = organisation.name
+        if organisation.priority is not None:
+            explanation["priority"] = organisation.priority
+    explanation["services"] = [
         {
             "service": b.service,
             "weight": b.weight,
@@ -117,9 +119,9 @@
         }
         for b in route.backends
     ]
-    if not any(s["targets"] for s in found["services"]):
-        return found | _refused(exception.NoTargetError)
-    return found
+    if not any(s["targets"] for s in explanation["services"]):
+        return explanation | _refused(exception.NoTargetError)
+    return explanation
 
 
 def _refused(error: type[exception.CopperloomError]) -> dict:
