--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -130,7 +130,7 @@
         system = await fixtures.start_system(self, engines=1, plain=1)
         entry = system.fronts[0].entry
         system.store.down = 503
-        system.store._wake()
+        system.store._notify()
         await fixtures.until(lambda: entry.targets.outage_at > 0)
         for name in list(system.targets):
             system.store.remove("servers", name)
--- a/copperloom/ingress/tests/test_placement_rpc.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -223,7 +223,7 @@
         system = await _start_fleet(self)
         calls_before = sum(system.store.calls.values())
         system.store.down = 503
-        system.store._wake()
+        system.store._notify()
         await asyncio.sleep(_WAIT_S)
         calls = sum(system.store.calls.values()) - calls_before
         self.assertLess(calls, _FRONTS * _WAIT_S)
