--- a/copperloom/standins/answers.py
+++ b/copperloom/standins/answers.py
@@ -1,4 +1,4 @@
-"""The answers of the engine stand-in, which a test can work out by itself."""
+"""Deterministic answers of the engine stand-in, which tests can compute."""
 
 import xxhash
 
@@ -6,20 +6,20 @@
 
 
 def digest(organisation: str, deployment: str, messages: bytes) -> str:
-    """Returns the eight hex digits that mark all tokens of an answer."""
-    hashed = xxhash.xxh32()
+    """Returns eight hex digits that identify a prompt in its answer."""
+    hasher = xxhash.xxh32()
     for part in (organisation.encode(), deployment.encode(), messages):
-        hashed.update(part)
-        hashed.update(b"\0")
-    return hashed.hexdigest()
+        hasher.update(part)
+        hasher.update(b"\0")
+    return hasher.hexdigest()
 
 
 def text(mark: str, index: int) -> str:
     """Returns the text of one token.
 
     Args:
-        mark: What `digest` returned.
-        index: Tokens before it.
+        mark: Digest of the prompt, as `digest` returns it.
+        index: Number of tokens before it in the answer.
     """
     return f"tok{index}-{mark} "
 
@@ -27,13 +27,13 @@
 def whole(
     organisation: str, deployment: str, messages: bytes, tokens: int
 ) -> str:
-    """Returns the whole answer to a prompt.
+    """Returns the complete answer to a prompt.
 
     Args:
-        organisation: Whose prompt it is.
+        organisation: Organisation that sends the prompt.
         deployment: Deployment name.
-        messages: The chat messages, the same bytes that the engine got.
-        tokens: Length of the answer.
+        messages: Chat messages, byte for byte as sent to the engine.
+        tokens: Length of the answer, in tokens.
     """
     mark = digest(organisation, deployment, messages)
     return "".join(text(mark, index) for index in range(tokens))
--- a/copperloom/standins/batch.py
+++ b/copperloom/standins/batch.py
@@ -1,10 +1,10 @@
-"""Continuous batching of the engine stand-in, without input and output.
+"""Continuous batching of the engine stand-in, without any I/O.
 
-A step decodes one token of each running stream and prefills at most
-`chunk_tokens` prompt tokens; prefill makes the step longer, so that a long
-prompt slows the answers beside it, as on real engines. A stream takes the
-memory of its prompt and its whole answer when it enters the batch and gives
-it back when it is finished or cancelled, whether anybody reads it or not.
+An iteration decodes one token of each running stream and prefills at most
+`chunk_tokens` prompt tokens. Prefill lengthens the iteration, so a long prompt
+slows down the answers in the same batch, as on real engines. A stream reserves
+KV memory for its prompt and its whole answer when it enters the batch, and
+releases it when it finishes or is cancelled, whether a client reads it or not.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from copperloom.targets import interface
 
 __all__ = [
-    "OVER",
+    "ENDED_STATES",
     "Batch",
     "Stream",
     "StreamState",
     "add",
-    "begin",
-    "busy",
-    "finish",
+    "begin_iteration",
+    "finish_iteration",
+    "has_work",
     "load",
     "remove",
 ]
@@ -32,7 +32,7 @@
 
 
 class StreamState(enum.StrEnum):
-    """Where a stream is in its life; the last three hold no memory."""
+    """State of a stream; those in `ENDED_STATES` occupy no KV memory."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -43,34 +43,36 @@
     FAILED = "failed"
 
 
-OVER = (StreamState.FINISHED, StreamState.CANCELLED, StreamState.FAILED)
+ENDED_STATES = (StreamState.FINISHED, StreamState.CANCELLED, StreamState.FAILED)
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Stream:
-    """One stream.
+    """A stream of the engine.
 
     Attributes:
-        name: Its name.
-        owner: INSTANCE.BOOT that answers for it.
-        organisation: Whose it is.
-        mark: What all tokens of its answer carry.
-        prompt_tokens: Tokens of its prompt.
-        max_tokens: Tokens of its answer.
-        priority: Greater goes first.
-        prefix: For the cache.
-        hold: Only fill the memory and hold it.
-        order: Place in the order of arrival.
-        state: Where it is.
-        kv_tokens: Memory that it holds now.
-        prefill_left: Prompt tokens (or their equal in time) to prefill.
-        generated: Tokens generated.
-        readers: Readers attached now; more than one only while one is
-            being cut off.
-        reader: Number of the newest reader; older ones are cut off.
-        read_at: Time of the last read.
-        over_at: Time at which it was over.
-        changed: Set when there is something to read.
+        name: Unique name of the stream.
+        owner: INSTANCE.BOOT of the entry that owns the stream.
+        organisation: Organisation that the stream belongs to.
+        mark: Digest of the prompt; part of each token of the answer.
+        prompt_tokens: Length of the prompt, in tokens.
+        max_tokens: Length of the answer, in tokens.
+        priority: Streams with a greater priority go first.
+        prefix: Hash of the prompt's start, for the prefix cache.
+        hold: Whether to only prefill the prompt and hold its KV memory.
+        arrival_number: Position in the order of arrival.
+        prefill_left: Work left to prefill, in prompt tokens; includes the
+            import of KV memory, converted by its duration.
+        last_read_at: When a client last read the stream (monotonic seconds).
+        state: State of the stream.
+        kv_tokens: KV memory that the stream occupies, in tokens.
+        generated: Tokens generated so far.
+        readers: Number of attached readers; more than one only until a
+            superseded reader is disconnected.
+        latest_reader: Number of the latest reader, which supersedes the
+            earlier ones.
+        ended_at: When the stream ended (monotonic seconds).
+        changed: Set when a reader has something to do.
     """
 
     name: str
@@ -82,31 +84,31 @@
     priority: int
     prefix: str
     hold: bool
-    order: int
+    arrival_number: int
     prefill_left: float
-    read_at: float
+    last_read_at: float
     state: StreamState = StreamState.WAITING
     kv_tokens: int = 0
     generated: int = 0
     readers: int = 0
-    reader: int = 0
-    over_at: float = 0.0
+    latest_reader: int = 0
+    ended_at: float = 0.0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
 class Batch:
-    """All that an engine loses when it dies.
+    """Streams, KV memory and prefix cache of an engine.
 
     Attributes:
-        spec: The engine's settings.
-        streams: All streams by name, those over included.
-        waiting: In the order in which they will enter the batch.
-        prefilling: In the order in which they are prefilled.
-        decoding: Streams that get a token each step.
-        filled: Streams to hold, whose prefill ends with this step.
-        kv_used: Memory in use, in tokens.
+        spec: Settings of the engine.
+        streams: All streams by name, including those that have ended.
+        waiting: Queued streams, in the order in which they enter the batch.
+        prefilling: Streams in prefill, in the order of their prefill.
+        decoding: Streams that get one token per iteration.
+        filled: Streams to hold whose prefill completes with this iteration.
+        kv_used: KV memory in use, in tokens.
         cache: The prefix cache.
-        arrivals: Streams ever added.
+        arrivals: Number of streams added so far.
     """
 
     def __init__(self, spec: settings.EngineSection, rng: random.Random):
@@ -126,22 +128,27 @@
 def add(
     batch: Batch, req: interface.StreamOpen, now: float, *, imported: int = 0
 ) -> Stream | None:
-    """Takes a stream in, or returns None if there will be no room for it.
+    """Queues a stream.
 
     Args:
-        batch: The state.
-        req: What was asked.
-        now: Monotonic seconds.
-        imported: KV tokens of other engines, to be taken in first.
+        batch: The batch to add the stream to.
+        req: The request that opens the stream.
+        now: Monotonic time in seconds.
+        imported: KV tokens to import from other engines before prefill.
+
+    Returns:
+        The stream, or None if it is refused for lack of KV memory or because
+        the queue is full.
     """
     spec = batch.spec
-    wanted = req.prompt_tokens + (0 if req.hold else req.max_tokens)
-    if wanted > spec.kv_tokens or len(batch.waiting) >= spec.max_waiting:
+    needed_tokens = req.prompt_tokens + (0 if req.hold else req.max_tokens)
+    if needed_tokens > spec.kv_tokens or len(batch.waiting) >= spec.max_waiting:
         return None
-    if req.hold and batch.kv_used + wanted > spec.kv_tokens:
-        # A part that waits would hold up the parts that have their memory.
+    if req.hold and batch.kv_used + needed_tokens > spec.kv_tokens:
+        # Parts of one prompt that wait for memory on some engines while
+        # they occupy it on others could block each other.
         return None
-    import_cost = imported / spec.import_tokens_per_s
+    import_s = imported / spec.import_tokens_per_s
     batch.arrivals += 1
     stream = Stream(
         name=req.stream,
@@ -153,66 +160,67 @@
         priority=req.priority,
         prefix=req.prefix,
         hold=req.hold,
-        order=batch.arrivals,
-        prefill_left=req.prompt_tokens
-        + import_cost * spec.prefill_tokens_per_s,
-        read_at=now,
+        arrival_number=batch.arrivals,
+        prefill_left=req.prompt_tokens + import_s * spec.prefill_tokens_per_s,
+        last_read_at=now,
     )
     batch.streams[stream.name] = stream
     batch.waiting.append(stream)
-    batch.waiting.sort(key=_rank)
+    batch.waiting.sort(key=_queue_key)
     return stream
 
 
 def remove(
     batch: Batch, stream: Stream, state: StreamState, now: float
 ) -> None:
-    """Ends a stream and gives its memory back; does nothing if it is over."""
-    if stream.state in OVER:
+    """Ends a stream and releases its memory, unless it has already ended."""
+    if stream.state in ENDED_STATES:
         return
-    for place in (batch.waiting, batch.prefilling, batch.decoding):
-        if stream in place:
-            place.remove(stream)
+    for queue in (batch.waiting, batch.prefilling, batch.decoding):
+        if stream in queue:
+            queue.remove(stream)
     batch.kv_used -= stream.kv_tokens
     stream.kv_tokens = 0
     stream.state = state
-    stream.over_at = now
+    stream.ended_at = now
     stream.changed.set()
 
 
-def busy(batch: Batch) -> bool:
-    """Returns whether a step would do anything."""
+def has_work(batch: Batch) -> bool:
+    """Returns whether there are streams that wait or run."""
     return bool(batch.waiting or batch.prefilling or batch.decoding)
 
 
-def begin(batch: Batch, now: float) -> float:
-    """Begins a step and returns the simulated seconds that it takes."""
-    _enter(batch)
+def begin_iteration(batch: Batch, now: float) -> float:
+    """Starts an iteration and returns its duration in simulated seconds."""
+    _admit(batch)
     spec = batch.spec
-    prefilled = _prefill(batch, now)
-    step_ms = spec.decode_ms + len(batch.decoding) * spec.decode_stream_ms
-    return step_ms / _MS_PER_S + prefilled / spec.prefill_tokens_per_s
+    prefilled_tokens = _prefill(batch, now)
+    iteration_ms = spec.decode_ms + len(batch.decoding) * spec.decode_stream_ms
+    return (
+        iteration_ms / _MS_PER_S + prefilled_tokens / spec.prefill_tokens_per_s
+    )
 
 
-def finish(batch: Batch, now: float) -> None:
-    """Ends the step: what it made can be read from now on."""
+def finish_iteration(batch: Batch, now: float) -> None:
+    """Ends the iteration and makes its tokens available to readers."""
     for stream in batch.filled:
         if stream.state is StreamState.PREFILL:
             stream.state = StreamState.HELD
             stream.changed.set()
     batch.filled.clear()
-    ended = []
+    finished = []
     for stream in batch.decoding:
         stream.generated += 1
         stream.changed.set()
         if stream.generated >= stream.max_tokens:
-            ended.append(stream)
-    for stream in ended:
+            finished.append(stream)
+    for stream in finished:
         remove(batch, stream, StreamState.FINISHED, now)
 
 
 def load(batch: Batch, boot: str) -> interface.LoadReport:
-    """Returns the load as it is now."""
+    """Returns a report of the present load."""
     return interface.LoadReport(
         boot=boot,
         kv_used=batch.kv_used,
@@ -226,45 +234,48 @@
     )
 
 
-def _rank(stream: Stream) -> tuple[int, int]:
-    return (-stream.priority, stream.order)
+def _queue_key(stream: Stream) -> tuple[int, int]:
+    return (-stream.priority, stream.arrival_number)
 
 
-def _enter(batch: Batch) -> None:
-    """Moves streams into the batch while memory and places last."""
+def _admit(batch: Batch) -> None:
+    """Moves waiting streams into the batch as far as there is capacity."""
     spec = batch.spec
-    entered = False
+    admitted = False
     while batch.waiting:
         running = len(batch.prefilling) + len(batch.decoding)
         stream = batch.waiting[0]
-        answer = 0 if stream.hold else stream.max_tokens
-        wanted = stream.prompt_tokens + answer
-        if running >= spec.max_batch or batch.kv_used + wanted > spec.kv_tokens:
+        answer_tokens = 0 if stream.hold else stream.max_tokens
+        needed_tokens = stream.prompt_tokens + answer_tokens
+        if (
+            running >= spec.max_batch
+            or batch.kv_used + needed_tokens > spec.kv_tokens
+        ):
             break
         del batch.waiting[0]
         if cache.touch(batch.cache, stream.prefix):
-            saved = min(spec.prefix_tokens, stream.prompt_tokens - 1)
-            stream.prefill_left -= max(saved, 0)
-        stream.kv_tokens = wanted
+            cached_tokens = min(spec.prefix_tokens, stream.prompt_tokens - 1)
+            stream.prefill_left -= max(cached_tokens, 0)
+        stream.kv_tokens = needed_tokens
         stream.state = StreamState.PREFILL
-        batch.kv_used += wanted
+        batch.kv_used += needed_tokens
         batch.prefilling.append(stream)
-        entered = True
-    if entered:
-        batch.prefilling.sort(key=_rank)
+        admitted = True
+    if admitted:
+        batch.prefilling.sort(key=_queue_key)
 
 
 def _prefill(batch: Batch, now: float) -> float:
-    """Prefills one chunk and returns its tokens.
+    """Prefills up to one chunk and returns the tokens prefilled.
 
-    A stream whose prompt is done gets its first token with this same step.
+    A stream whose prefill completes gets its first token in this iteration.
     """
     budget = float(batch.spec.chunk_tokens)
     while batch.prefilling and budget > 0:
         stream = batch.prefilling[0]
-        part = min(budget, stream.prefill_left)
-        stream.prefill_left -= part
-        budget -= part
+        chunk = min(budget, stream.prefill_left)
+        stream.prefill_left -= chunk
+        budget -= chunk
         if stream.prefill_left > 0:
             break
         del batch.prefilling[0]
--- a/copperloom/standins/cache.py
+++ b/copperloom/standins/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the engine stand-in, with late and gappy events."""
+"""Prefix cache of the engine stand-in, whose events may be lost."""
 
 import collections
 import random
@@ -7,66 +7,73 @@
 
 __all__ = ["PrefixCache", "events", "store", "touch"]
 
-_EVENTS_KEPT = 2000
+_MAX_EVENTS = 2000
 
 
 class PrefixCache:
-    """Least recently used prefixes in limited memory.
+    """A cache of limited size that evicts the least recently used prefixes.
 
     Attributes:
-        room: Prefixes that fit.
+        capacity: Maximum number of prefixes.
         event_loss: Share of events that are lost.
-        rng: Source of the losses.
-        held: Prefixes, least recently used first.
-        sequence: Number of the newest event.
-        told: (time, event) of those not lost, oldest first.
+        rng: Random number generator that decides which events are lost.
+        prefixes: Cached prefixes, least recently used first.
+        sequence: Sequence number of the latest event.
+        recorded: (monotonic seconds, event) of the events that were not lost,
+            oldest first.
     """
 
-    def __init__(self, room: int, event_loss: float, rng: random.Random):
-        self.room = room
+    def __init__(self, capacity: int, event_loss: float, rng: random.Random):
+        self.capacity = capacity
         self.event_loss = event_loss
         self.rng = rng
-        self.held: collections.OrderedDict[str, None] = (
+        self.prefixes: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self.sequence = 0
-        self.told: collections.deque[tuple[float, interface.CacheEvent]] = (
-            collections.deque(maxlen=_EVENTS_KEPT)
+        self.recorded: collections.deque[tuple[float, interface.CacheEvent]] = (
+            collections.deque(maxlen=_MAX_EVENTS)
         )
 
 
 def touch(cache: PrefixCache, prefix: str) -> bool:
-    """Returns whether the prefix is held, and makes it the newest if so."""
-    if prefix not in cache.held:
+    """Returns whether a prefix is cached; if so, it is the latest used."""
+    if prefix not in cache.prefixes:
         return False
-    cache.held.move_to_end(prefix)
+    cache.prefixes.move_to_end(prefix)
     return True
 
 
 def store(cache: PrefixCache, prefix: str, now: float) -> None:
-    """Takes a prefix in and drops the oldest ones that no longer fit."""
-    if not prefix or not cache.room or touch(cache, prefix):
+    """Caches a prefix and evicts the least recently used ones."""
+    if not prefix or not cache.capacity or touch(cache, prefix):
         return
-    cache.held[prefix] = None
-    _note(cache, prefix, True, now)
-    while len(cache.held) > cache.room:
-        oldest, _ = cache.held.popitem(last=False)
-        _note(cache, oldest, False, now)
+    cache.prefixes[prefix] = None
+    _record(cache, prefix, True, now)
+    while len(cache.prefixes) > cache.capacity:
+        evicted, _ = cache.prefixes.popitem(last=False)
+        _record(cache, evicted, False, now)
 
 
 def events(
     cache: PrefixCache, after: int, until: float
 ) -> list[interface.CacheEvent]:
-    """Returns the events with a greater number, up to a time."""
+    """Returns recorded events.
+
+    Args:
+        cache: The cache whose events are wanted.
+        after: Sequence number that the events must exceed.
+        until: Monotonic time of the latest event to return, in seconds.
+    """
     return [
         event
-        for told, event in cache.told
-        if event.sequence > after and told <= until
+        for recorded_at, event in cache.recorded
+        if event.sequence > after and recorded_at <= until
     ]
 
 
-def _note(cache: PrefixCache, prefix: str, stored: bool, now: float) -> None:
+def _record(cache: PrefixCache, prefix: str, stored: bool, now: float) -> None:
     cache.sequence += 1
     if cache.rng.random() >= cache.event_loss:
         event = interface.CacheEvent(cache.sequence, prefix, stored)
-        cache.told.append((now, event))
+        cache.recorded.append((now, event))
--- a/copperloom/standins/calls.py
+++ b/copperloom/standins/calls.py
@@ -1,4 +1,4 @@
-"""The calls that an engine stand-in answers."""
+"""HTTP handlers of the engine stand-in."""
 
 import asyncio
 import dataclasses
@@ -15,10 +15,10 @@
 
 
 def routes(engine) -> list[web.RouteDef]:
-    """Returns the calls of one engine.
+    """Returns the routes of an engine.
 
     Args:
-        engine: A copperloom.standins.engine.Engine.
+        engine: The copperloom.standins.engine.Engine to serve.
     """
 
     def bind(handler):
@@ -48,15 +48,17 @@
     if req.imports:
         found = await engine.parts.export_all(req.imports)
         if found is None:
-            return _refuse(engine, req, 503, "a part is not there")
+            return _refuse(engine, req, 503, "an imported part is missing")
         imported = found
-        # The name may have been cancelled while the parts were asked.
+        # The stream may have been cancelled during the requests for parts.
         refusal = _refusal(engine, req)
         if refusal is not None:
             return refusal
     stream = batch.add(engine.batch, req, engine.now(), imported=imported)
     if stream is None:
-        return _refuse(engine, req, 503, "no room", retry_after_s=1.0)
+        return _refuse(
+            engine, req, 503, "no KV memory or queue full", retry_after_s=1.0
+        )
     return await _run(engine, request, req, stream)
 
 
@@ -66,34 +68,34 @@
     req: interface.StreamOpen,
     stream: batch.Stream,
 ) -> web.StreamResponse:
-    ledger.arrived(engine.ledger, req, stream.mark, "")
+    ledger.record_arrival(engine.ledger, req, stream.mark, "")
     engine.wake.set()
-    if engine.faults.take("fail_next"):
+    if engine.faults.consume("fail_next"):
         _end(engine, stream, batch.StreamState.FAILED)
-        return server.error(500, "failed", ran=True)
+        return server.error(500, "failed by an injected fault", ran=True)
     if req.imports:
         engine.parts.watch(
             req.imports,
             lambda: _end(engine, stream, batch.StreamState.FAILED),
-            lambda: stream.state in batch.OVER,
+            lambda: stream.state in batch.ENDED_STATES,
         )
-    if engine.faults.take("drop_reply_next"):
+    if engine.faults.consume("drop_reply_next"):
         return server.abort(request)
     return await reading.relay(request, stream, 0, engine.now)
 
 
 def _refusal(engine, req: interface.StreamOpen) -> web.Response | None:
-    """Returns why a stream is not taken; None if it may be."""
+    """Returns the refusal of a stream; None if it may be added."""
     if req.stream in engine.tombstones:
-        return _refuse(engine, req, 409, "cancelled before it came")
+        return _refuse(engine, req, 409, "cancelled before it arrived")
     if req.stream in engine.batch.streams:
-        return _refuse(engine, req, 409, "the name is taken", ran=True)
+        return _refuse(engine, req, 409, "stream name already in use", ran=True)
     if engine.faults.leaving:
         return _refuse(engine, req, 503, "leaving")
     if not engine.any_model and req.model not in engine.models:
         return _refuse(engine, req, 503, "model not loaded")
-    if engine.faults.take("refuse_next"):
-        return _refuse(engine, req, 503, "told to refuse")
+    if engine.faults.consume("refuse_next"):
+        return _refuse(engine, req, 503, "refused by an injected fault")
     return None
 
 
@@ -102,10 +104,10 @@
     req: interface.StreamOpen,
     status: int,
     text: str,
-    **facts,
+    **fields,
 ) -> web.Response:
-    ledger.arrived(engine.ledger, req, "", text)
-    return server.error(status, text, **facts)
+    ledger.record_arrival(engine.ledger, req, "", text)
+    return server.error(status, text, **fields)
 
 
 async def _resume(engine, request: web.Request) -> web.StreamResponse:
@@ -116,7 +118,7 @@
     ):
         return server.error(404, "unknown stream", ran=True)
     if stream.organisation != request.query.get("organisation"):
-        return server.error(403, "another organisation's", ran=True)
+        return server.error(403, "stream of another organisation", ran=True)
     stream.owner = request.query["owner"]
     offset = int(request.query.get("offset", "0"))
     return await reading.relay(request, stream, offset, engine.now)
@@ -125,7 +127,7 @@
 async def _cancel(engine, request: web.Request) -> web.Response:
     name = request.match_info["stream"]
     engine.tombstones[name] = engine.now() + engine.spec.tombstone_s
-    ledger.cancelled(engine.ledger, name)
+    ledger.record_cancel(engine.ledger, name)
     stream = engine.batch.streams.get(name)
     if stream is not None:
         _end(engine, stream, batch.StreamState.CANCELLED)
@@ -133,7 +135,7 @@
 
 
 def _end(engine, stream: batch.Stream, state: batch.StreamState) -> None:
-    # A stream of an earlier life has given its memory back already.
+    # A stream from before a crash has already released its memory.
     if engine.batch.streams.get(stream.name) is stream:
         batch.remove(engine.batch, stream, state, engine.now())
 
@@ -147,10 +149,10 @@
                 owner=stream.owner,
                 kv_tokens=stream.kv_tokens,
                 attached=stream.readers > 0,
-                idle_s=0.0 if stream.readers else now - stream.read_at,
+                idle_s=0.0 if stream.readers else now - stream.last_read_at,
             )
             for stream in engine.batch.streams.values()
-            if stream.state not in batch.OVER
+            if stream.state not in batch.ENDED_STATES
         ]
     )
 
@@ -158,20 +160,20 @@
 async def _export(engine, request: web.Request) -> web.Response:
     stream = engine.batch.streams.get(request.match_info["stream"])
     if stream is None or stream.state is not batch.StreamState.HELD:
-        return server.error(404, "no such part")
+        return server.error(404, "unknown part")
     return server.reply({"kv_tokens": stream.kv_tokens})
 
 
 async def _load(engine, request: web.Request) -> web.Response:
     if engine.spec.report_lag_s:
-        taken, report = engine.report
+        taken_at, report = engine.report
     else:
-        taken, report = engine.now(), batch.load(engine.batch, engine.boot)
+        taken_at, report = engine.now(), batch.load(engine.batch, engine.boot)
     return server.reply(
         dataclasses.replace(
             report,
             boot=engine.boot,
-            age_s=engine.now() - taken,
+            age_s=engine.now() - taken_at,
             leaving=engine.faults.leaving,
             models=tuple(sorted(engine.models)),
         )
@@ -188,16 +190,18 @@
 
 async def _order(engine, request: web.Request) -> web.Response:
     order = _ORDER.decode(await request.read())
-    old = order.fencing < engine.fencing
-    if engine.spec.checks_fencing and old:
-        ledger.ordered(engine.ledger, order, obeyed=False)
-        return server.error(409, f"fencing number {engine.fencing} was seen")
+    outdated = order.fencing < engine.fencing
+    if engine.spec.checks_fencing and outdated:
+        ledger.record_order(engine.ledger, order, obeyed=False)
+        return server.error(
+            409, f"fencing number {engine.fencing} was already seen"
+        )
     engine.fencing = max(engine.fencing, order.fencing)
-    ledger.ordered(engine.ledger, order, obeyed=True)
+    ledger.record_order(engine.ledger, order, obeyed=True)
     if order.kind == "load_model":
-        current = engine.batch
+        batch_before = engine.batch
         await asyncio.sleep(engine.spec.load_model_s / engine.spec.time_scale)
-        if engine.batch is not current:
+        if engine.batch is not batch_before:
             return server.abort(request)
         engine.models.add(order.value)
     else:
--- a/copperloom/standins/control.py
+++ b/copperloom/standins/control.py
@@ -1,4 +1,4 @@
-"""The calls by which tests change and question stand-ins."""
+"""Client functions by which tests control and inspect stand-ins."""
 
 import aiohttp
 
@@ -6,7 +6,12 @@
 
 
 async def control(address: str, **changes) -> None:
-    """Changes a stand-in's behaviour; see docs/design/engines.md."""
+    """Changes the behaviour of a stand-in, as in docs/design/engines.md.
+
+    Args:
+        address: IP:port of the stand-in.
+        **changes: Faults and other changes by name.
+    """
     async with (
         aiohttp.ClientSession(raise_for_status=True) as session,
         session.post(f"http://{address}/_standin/control", json=changes),
@@ -15,7 +20,7 @@
 
 
 async def truth(address: str) -> dict:
-    """Returns what really happened at a stand-in."""
+    """Returns the state and the records of a stand-in."""
     async with (
         aiohttp.ClientSession(raise_for_status=True) as session,
         session.get(f"http://{address}/_standin/truth") as resp,
--- a/copperloom/standins/engine.py
+++ b/copperloom/standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine for tests and trials, as docs/PROTOCOLS.md tells."""
+"""A simulated model engine that speaks the protocol of docs/PROTOCOLS.md."""
 
 import asyncio
 import random
@@ -15,8 +15,8 @@
 
 __all__ = ["Engine", "serve"]
 
-_FALL_BEHIND_S = 0.2
-_SWEEP_S = 0.25
+_MAX_BACKLOG_S = 0.2
+_SWEEP_INTERVAL_S = 0.25
 _BOOT_BYTES = 6
 
 
@@ -24,22 +24,22 @@
     """State of one engine.
 
     Attributes:
-        spec: Its settings.
-        rng: Source of all that is random.
-        faults: What a test asked for.
-        ledger: What really happened; outlives a death.
-        boot: Name of this life.
-        batch: All that a death loses.
-        any_model: Whether it takes work for any model.
-        models: Models loaded.
-        roles: What orders of other kinds set, by kind.
-        fencing: The highest fencing number obeyed; lost by a death.
-        tombstones: Cancelled names to the time at which they are forgotten.
-        report: The load report that is shown and the time it was taken.
-        pending: The report that will be shown next.
+        spec: Settings of the engine.
+        rng: Random number generator of the cache events.
+        faults: Faults that are injected at present.
+        ledger: Records of the work; kept across simulated crashes.
+        boot: Boot id; a crash changes it.
+        batch: Streams, KV memory and prefix cache; a crash empties it.
+        any_model: Whether the engine accepts work for any model.
+        models: Names of the loaded models.
+        roles: Values set by orders other than "load_model", by kind.
+        fencing: Highest fencing number obeyed; a crash resets it.
+        tombstones: Expiry times of cancelled stream names, by name.
+        report: Published load report as (time taken, report).
+        pending: Load report to publish next, in the same form.
         wake: Set when there is work.
         loop: The event loop.
-        parts: Watches over other engines' parts.
+        parts: Client for prompt parts that other engines hold.
     """
 
     def __init__(self, spec: settings.EngineSection):
@@ -56,8 +56,8 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begins a life: everything in memory is as new."""
-        # Not from the seed: a process started again must have a new one.
+        """Simulates a restart: drops all that a real engine has in memory."""
+        # Not derived from the seed, so that a restarted process differs.
         self.boot = secrets.token_hex(_BOOT_BYTES)
         for stream in list(self.batch.streams.values()):
             batch.remove(
@@ -76,12 +76,12 @@
 
 
 async def serve(program: settings.EngineSettings) -> server.Server:
-    """Starts an engine."""
+    """Starts an engine and returns its server."""
     engine = Engine(program.engine)
     tasks = [
-        asyncio.create_task(_generate(engine)),
-        asyncio.create_task(_sweep(engine)),
-        asyncio.create_task(_report(engine)),
+        asyncio.create_task(_run_iterations(engine)),
+        asyncio.create_task(_remove_expired(engine)),
+        asyncio.create_task(_publish_reports(engine)),
     ]
 
     async def close() -> None:
@@ -100,11 +100,11 @@
     )
 
 
-async def _generate(engine: Engine) -> None:
-    """Runs step after step, each in its time.
+async def _run_iterations(engine: Engine) -> None:
+    """Runs the iterations of the batch, each for its simulated duration.
 
-    Late steps are caught up with, up to a limit, so that a busy machine
-    slows the engine down less than it would by sleeping afresh each step.
+    Each due time follows from the previous one, so that delays of the event
+    loop are made up for, up to a maximum backlog.
     """
     due = engine.loop.time()
     while True:
@@ -112,34 +112,37 @@
         if now < engine.faults.frozen_until:
             await asyncio.sleep(engine.faults.frozen_until - now)
             continue
-        if not batch.busy(engine.batch):
+        if not batch.has_work(engine.batch):
             engine.wake.clear()
             await engine.wake.wait()
             due = engine.loop.time()
         current = engine.batch
-        took = batch.begin(current, engine.now())
-        due += took * engine.faults.slow_factor / engine.spec.time_scale
-        due = max(due, engine.loop.time() - _FALL_BEHIND_S)
+        iteration_s = batch.begin_iteration(current, engine.now())
+        due += iteration_s * engine.faults.slow_factor / engine.spec.time_scale
+        due = max(due, engine.loop.time() - _MAX_BACKLOG_S)
         await asyncio.sleep(max(due - engine.loop.time(), 0))
-        batch.finish(current, engine.now())
+        batch.finish_iteration(current, engine.now())
 
 
-async def _sweep(engine: Engine) -> None:
-    """Forgets cancelled names and finished streams that are old."""
+async def _remove_expired(engine: Engine) -> None:
+    """Removes expired tombstones and ended streams past their retention."""
     while True:
-        await asyncio.sleep(_SWEEP_S)
+        await asyncio.sleep(_SWEEP_INTERVAL_S)
         now = engine.now()
-        for name, until in list(engine.tombstones.items()):
-            if until < now:
+        for name, expires_at in list(engine.tombstones.items()):
+            if expires_at < now:
                 del engine.tombstones[name]
-        over = now - engine.spec.linger_s
+        oldest_kept = now - engine.spec.linger_s
         for stream in list(engine.batch.streams.values()):
-            if stream.state in batch.OVER and stream.over_at < over:
+            if (
+                stream.state in batch.ENDED_STATES
+                and stream.ended_at < oldest_kept
+            ):
                 del engine.batch.streams[stream.name]
 
 
-async def _report(engine: Engine) -> None:
-    """Shows each load report one period after it was taken."""
+async def _publish_reports(engine: Engine) -> None:
+    """Publishes each load report one lag period after it was taken."""
     while engine.spec.report_lag_s:
         await asyncio.sleep(engine.spec.report_lag_s)
         engine.report = engine.pending
@@ -147,9 +150,9 @@
 
 
 def _control(engine: Engine, changes: dict) -> None:
-    down_s = changes.pop("die", None)
-    if down_s is not None:
-        engine.faults.dead_until = engine.now() + down_s
+    downtime_s = changes.pop("die", None)
+    if downtime_s is not None:
+        engine.faults.dead_until = engine.now() + downtime_s
         engine.reset()
     if changes:
         raise ValueError(f"unknown changes: {sorted(changes)}")
@@ -166,5 +169,5 @@
         "models": sorted(engine.models),
         "roles": engine.roles,
         "fencing": engine.fencing,
-        **ledger.tell(engine.ledger),
+        **ledger.snapshot(engine.ledger),
     }
--- a/copperloom/standins/ledger.py
+++ b/copperloom/standins/ledger.py
@@ -1,45 +1,53 @@
-"""What really happened at a stand-in, for tests to compare with."""
+"""Records of the work at a stand-in, for tests to compare against."""
 
 import collections
 import time
 
 from copperloom.targets import interface
 
-__all__ = ["Ledger", "arrived", "called", "cancelled", "ordered", "tell"]
+__all__ = [
+    "Ledger",
+    "record_arrival",
+    "record_call",
+    "record_cancel",
+    "record_order",
+    "snapshot",
+]
 
-# Bounds the memory of a long trial; a test that looks further back fails.
-_KEPT = 200_000
+# Bounds the memory used in long runs; older records are dropped.
+_MAX_RECORDS = 200_000
 
 
 class Ledger:
-    """Records in the order in which they happened.
+    """Records in chronological order.
 
     Attributes:
-        runs: Work that was taken.
-        arrivals: All work that came, also if refused.
-        orders: Orders that came.
-        cancels: Names cancelled.
-        runs_by_key: Runs by ORGANISATION/KEY, of work with a key.
+        runs: Work that was accepted.
+        arrivals: All streams that arrived, including those refused.
+        orders: Orders received.
+        cancels: Names of cancelled streams.
+        runs_by_key: Number of runs by idempotency key, as ORGANISATION/KEY
+            at an engine and KEY at a plain service.
     """
 
     def __init__(self):
-        self.runs = collections.deque(maxlen=_KEPT)
-        self.arrivals = collections.deque(maxlen=_KEPT)
-        self.orders = collections.deque(maxlen=_KEPT)
-        self.cancels = collections.deque(maxlen=_KEPT)
+        self.runs = collections.deque(maxlen=_MAX_RECORDS)
+        self.arrivals = collections.deque(maxlen=_MAX_RECORDS)
+        self.orders = collections.deque(maxlen=_MAX_RECORDS)
+        self.cancels = collections.deque(maxlen=_MAX_RECORDS)
         self.runs_by_key: collections.Counter[str] = collections.Counter()
 
 
-def arrived(
+def record_arrival(
     ledger: Ledger, req: interface.StreamOpen, mark: str, refusal: str
 ) -> None:
-    """Notes a stream that came.
+    """Records the arrival of a stream.
 
     Args:
-        ledger: The records.
-        req: What was asked.
-        mark: The mark of its answer, which tells its prompt.
-        refusal: Why it was refused; "" if it was taken.
+        ledger: The ledger to add to.
+        req: The request that opens the stream.
+        mark: Digest of the prompt, which marks the tokens of the answer.
+        refusal: Why the stream was refused; "" if it was accepted.
     """
     now = time.time()
     ledger.arrivals.append(
@@ -61,8 +69,8 @@
         ledger.runs_by_key[f"{req.organisation}/{req.key}"] += 1
 
 
-def called(ledger: Ledger, request: str, key: str, path: str) -> None:
-    """Notes a call that a plain service ran."""
+def record_call(ledger: Ledger, request: str, key: str, path: str) -> None:
+    """Records a call that a plain service ran."""
     ledger.runs.append(
         {"request": request, "key": key, "path": path, "wall_s": time.time()}
     )
@@ -70,13 +78,15 @@
         ledger.runs_by_key[key] += 1
 
 
-def cancelled(ledger: Ledger, stream: str) -> None:
-    """Notes a cancel."""
+def record_cancel(ledger: Ledger, stream: str) -> None:
+    """Records the cancellation of a stream."""
     ledger.cancels.append(stream)
 
 
-def ordered(ledger: Ledger, order: interface.Order, *, obeyed: bool) -> None:
-    """Notes an order."""
+def record_order(
+    ledger: Ledger, order: interface.Order, *, obeyed: bool
+) -> None:
+    """Records an order and whether it was obeyed."""
     ledger.orders.append(
         {
             "kind": order.kind,
@@ -88,8 +98,8 @@
     )
 
 
-def tell(ledger: Ledger) -> dict:
-    """Returns the records in a form that JSON has."""
+def snapshot(ledger: Ledger) -> dict:
+    """Returns the records as values that JSON can represent."""
     return {
         "runs": list(ledger.runs),
         "arrivals": list(ledger.arrivals),
--- a/copperloom/standins/parts.py
+++ b/copperloom/standins/parts.py
@@ -1,4 +1,4 @@
-"""Other engines' parts of a prompt that is larger than one engine."""
+"""Client for prompt parts whose KV memory other engine stand-ins hold."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,46 +7,57 @@
 
 __all__ = ["Parts"]
 
-_LOOK_S = 0.25
+_POLL_INTERVAL_S = 0.25
 _TIMEOUT_S = 2.0
 
 
 class Parts:
-    """Asks other engines for their parts, and watches that they stay."""
+    """Requests parts from other engines and watches that they remain.
+
+    Attributes:
+        session: HTTP client session; None until the first request.
+        tasks: Watches that are running.
+    """
 
     def __init__(self):
         self.session: aiohttp.ClientSession | None = None
         self.tasks: set[asyncio.Task] = set()
 
     async def export_all(self, handles: tuple[str, ...]) -> int | None:
-        """Returns the tokens of all parts; None if one is not there."""
-        found = [await self._export(handle) for handle in handles]
-        return None if None in found else sum(found)
+        """Returns the total tokens of the parts; None if one is missing."""
+        part_tokens = [await self._export(handle) for handle in handles]
+        return None if None in part_tokens else sum(part_tokens)
 
     def watch(
         self,
         handles: tuple[str, ...],
-        lost: Callable[[], None],
-        over: Callable[[], bool],
+        on_lost: Callable[[], None],
+        is_over: Callable[[], bool],
     ) -> None:
-        """Calls `lost` once a part is gone, until `over` is true."""
-        task = asyncio.create_task(self._watch(handles, lost, over))
+        """Starts to watch parts that a stream has imported.
+
+        Args:
+            handles: KV handles of the parts (ADDRESS/STREAM).
+            on_lost: Called once if a part is gone.
+            is_over: Returns whether the watch is to end.
+        """
+        task = asyncio.create_task(self._watch(handles, on_lost, is_over))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def close(self) -> None:
-        """Ends all watches."""
+        """Ends all watches and closes the HTTP session."""
         for task in list(self.tasks):
             task.cancel()
         if self.session is not None:
             await self.session.close()
 
-    async def _watch(self, handles, lost, over) -> None:
-        while not over():
+    async def _watch(self, handles, on_lost, is_over) -> None:
+        while not is_over():
             if await self.export_all(handles) is None:
-                lost()
+                on_lost()
                 return
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def _export(self, handle: str) -> int | None:
         address, _, stream = handle.partition("/")
--- a/copperloom/standins/reading.py
+++ b/copperloom/standins/reading.py
@@ -1,4 +1,4 @@
-"""How an engine stand-in reads a request and writes an answer."""
+"""Decoding of requests and streaming of answers at an engine stand-in."""
 
 from collections.abc import Callable
 
@@ -10,13 +10,13 @@
 
 __all__ = ["decode_open", "relay"]
 
-_PIECE_TOKENS = 64
-_HELD = "held"
-_LENGTH = "length"
+_MAX_PIECE_TOKENS = 64
+_FINAL_HELD = "held"
+_FINAL_LENGTH = "length"
 
 
-class _Open(msgspec.Struct):
-    """StreamOpen as it is sent, with the messages in place."""
+class _OpenBody(msgspec.Struct):
+    """StreamOpen as it is sent: the messages are embedded as raw JSON."""
 
     stream: str
     owner: str
@@ -33,13 +33,13 @@
     imports: tuple[str, ...] = ()
 
 
-_OPEN = msgspec.json.Decoder(_Open)
+_OPEN_DECODER = msgspec.json.Decoder(_OpenBody)
 _ENCODER = msgspec.json.Encoder()
 
 
 def decode_open(body: bytes) -> interface.StreamOpen:
-    """Decodes the body of a call that opens a stream."""
-    fields = msgspec.structs.asdict(_OPEN.decode(body))
+    """Decodes the body of a request that opens a stream."""
+    fields = msgspec.structs.asdict(_OPEN_DECODER.decode(body))
     fields["messages"] = bytes(fields["messages"])
     return interface.StreamOpen(**fields)
 
@@ -50,20 +50,24 @@
     offset: int,
     now: Callable[[], float],
 ) -> web.StreamResponse:
-    """Writes an answer from an offset on, as it is generated.
+    """Streams an answer from an offset on, as it is generated.
 
-    One wake and one write carry all that a step made. A newer reader cuts
-    this one off, without a final piece.
+    All tokens of an iteration go out in one write. A later reader of the same
+    stream supersedes this one, whose connection is reset without a final
+    piece.
 
     Args:
-        request: Whose response is written.
-        stream: What to write.
-        offset: Tokens that the reader has.
-        now: Gives the monotonic time.
+        request: The request to respond to.
+        stream: The stream to send.
+        offset: Tokens of the answer that the reader already has.
+        now: Returns the monotonic time in seconds.
+
+    Returns:
+        The response, which has been sent.
     """
     resp = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
     await resp.prepare(request)
-    stream.reader += 1
+    stream.latest_reader += 1
     stream.readers += 1
     stream.changed.set()
     try:
@@ -72,7 +76,7 @@
         return resp
     finally:
         stream.readers -= 1
-        stream.read_at = now()
+        stream.last_read_at = now()
 
 
 async def _write(
@@ -81,11 +85,14 @@
     stream: batch.Stream,
     offset: int,
 ) -> web.StreamResponse:
-    reader = stream.reader
-    while reader == stream.reader and stream.state not in _BROKEN:
+    reader_number = stream.latest_reader
+    while (
+        reader_number == stream.latest_reader
+        and stream.state not in _INTERRUPTED
+    ):
         lines = _lines(stream, offset)
         offset = max(offset, stream.generated)
-        if stream.state in _WHOLE:
+        if stream.state in _COMPLETE:
             await resp.write_eof(lines)
             return resp
         stream.changed.clear()
@@ -97,27 +104,29 @@
     return resp
 
 
-_BROKEN = (batch.StreamState.CANCELLED, batch.StreamState.FAILED)
-_WHOLE = (batch.StreamState.FINISHED, batch.StreamState.HELD)
+_INTERRUPTED = (batch.StreamState.CANCELLED, batch.StreamState.FAILED)
+_COMPLETE = (batch.StreamState.FINISHED, batch.StreamState.HELD)
 
 
 def _lines(stream: batch.Stream, offset: int) -> bytes:
-    """Returns the pieces from an offset on, a line each."""
+    """Returns the pieces from an offset on as lines of JSON."""
     if stream.state is batch.StreamState.HELD:
-        piece = interface.Piece(stream.name, 0, "", 0, _HELD)
+        piece = interface.Piece(stream.name, 0, "", 0, _FINAL_HELD)
         return _ENCODER.encode(piece) + b"\n"
     end = stream.generated
-    whole = stream.state is batch.StreamState.FINISHED
+    complete = stream.state is batch.StreamState.FINISHED
     lines = []
-    for start in range(offset, end, _PIECE_TOKENS):
-        stop = min(start + _PIECE_TOKENS, end)
+    for start in range(offset, end, _MAX_PIECE_TOKENS):
+        stop = min(start + _MAX_PIECE_TOKENS, end)
         text = "".join(
             answers.text(stream.mark, index) for index in range(start, stop)
         )
-        final = _LENGTH if whole and stop == end else ""
-        piece = interface.Piece(stream.name, start, text, stop - start, final)
+        final_reason = _FINAL_LENGTH if complete and stop == end else ""
+        piece = interface.Piece(
+            stream.name, start, text, stop - start, final_reason
+        )
         lines.append(_ENCODER.encode(piece) + b"\n")
-    if whole and not lines:
-        piece = interface.Piece(stream.name, end, "", 0, _LENGTH)
+    if complete and not lines:
+        piece = interface.Piece(stream.name, end, "", 0, _FINAL_LENGTH)
         lines.append(_ENCODER.encode(piece) + b"\n")
     return b"".join(lines)
--- a/copperloom/standins/server.py
+++ b/copperloom/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that speak HTTP have in common."""
+"""HTTP server, injected faults and replies shared by the stand-ins."""
 
 import asyncio
 import dataclasses
@@ -9,21 +9,21 @@
 
 __all__ = ["Faults", "Server", "abort", "error", "reply", "start"]
 
-_BODY_BYTES = 256 << 20
-_SHUTDOWN_S = 0.5
+_MAX_BODY_BYTES = 256 << 20
+_SHUTDOWN_TIMEOUT_S = 0.5
 
 
 @dataclasses.dataclass
 class Faults:
-    """Faults that a test asked for; the counts fall as they are used up.
+    """Faults that tests inject.
 
     Attributes:
-        leaving: Whether new work is refused with the word that it leaves.
-        slow_factor: What all times are multiplied by.
-        refuse_next: Pieces of work to refuse, not run.
-        fail_next: Pieces of work to run and fail.
-        drop_reply_next: Pieces of work to run without any reply.
-        frozen_until: Loop time until which nothing moves.
+        leaving: Whether the stand-in is draining and refuses new work.
+        slow_factor: Factor by which durations of work are multiplied.
+        refuse_next: Number of requests to refuse without running them.
+        fail_next: Number of requests to run and then fail.
+        drop_reply_next: Number of requests to run without a reply.
+        frozen_until: Loop time until which the stand-in makes no progress.
         dead_until: Loop time until which connections are reset.
     """
 
@@ -35,22 +35,22 @@
     frozen_until: float = 0.0
     dead_until: float = 0.0
 
-    def take(self, name: str) -> bool:
-        """Uses up one of a count; returns whether there was one."""
-        left = getattr(self, name)
-        if left:
-            setattr(self, name, left - 1)
-        return left > 0
+    def consume(self, name: str) -> bool:
+        """Decrements a count; returns whether it was above zero."""
+        count = getattr(self, name)
+        if count:
+            setattr(self, name, count - 1)
+        return count > 0
 
 
 @dataclasses.dataclass(frozen=True)
 class Server:
-    """A stand-in that listens.
+    """A running stand-in.
 
     Attributes:
-        addresses: IP:port by name, for the line that says it is ready.
-        truth: Tells what really happened.
-        close: Stops it.
+        addresses: IP:port by name.
+        truth: Returns the state and the records of the stand-in.
+        close: Stops the stand-in.
     """
 
     addresses: dict[str, str]
@@ -67,33 +67,33 @@
     control: Callable[[dict], None] | None = None,
     close: Callable[[], Awaitable[None]] | None = None,
 ) -> Server:
-    """Listens.
+    """Starts an HTTP server with the given routes and those for tests.
 
     Args:
-        listen: IP:port; port 0 takes a free one.
-        routes: What it answers besides the calls for tests.
-        faults: Changed by the control call.
-        truth: Answers the truth call.
-        control: Takes the changes that are not fields of `faults`.
-        close: Run after it stopped listening.
+        listen: IP:port; port 0 picks a free one.
+        routes: Routes of the stand-in.
+        faults: Faults, which control requests change.
+        truth: Returns the body of the reply to truth requests.
+        control: Applies changes that are not fields of `faults`.
+        close: Called after the server has stopped listening.
     """
     app = web.Application(
-        client_max_size=_BODY_BYTES, middlewares=[_suffer(faults)]
+        client_max_size=_MAX_BODY_BYTES, middlewares=[_fault_middleware(faults)]
     )
     app.add_routes(
         [
-            web.post("/_standin/control", _controller(faults, control)),
-            web.get("/_standin/truth", _teller(truth)),
+            web.post("/_standin/control", _control_handler(faults, control)),
+            web.get("/_standin/truth", _truth_handler(truth)),
             *routes,
         ]
     )
     runner = web.AppRunner(
         app,
         access_log=None,
-        # A reader that goes away ends its handler, so that a stream is not
-        # shown as attached for longer than its connection lasts.
+        # Ends the handler of a reader that disconnects, so that its stream
+        # is not listed as attached after the connection has ended.
         handler_cancellation=True,
-        shutdown_timeout=_SHUTDOWN_S,
+        shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
     )
     await runner.setup()
     host, _, port = listen.rpartition(":")
@@ -124,7 +124,7 @@
     ran: bool = False,
     retry_after_s: float | None = None,
 ) -> web.Response:
-    """Returns an error as docs/PROTOCOLS.md has it."""
+    """Returns an error reply in the format of docs/PROTOCOLS.md."""
     body = {"error": text, "ran": ran}
     if retry_after_s is not None:
         body["retry_after_s"] = retry_after_s
@@ -132,17 +132,17 @@
 
 
 def abort(request: web.Request) -> web.Response:
-    """Resets the request's connection; nothing more is sent on it."""
+    """Aborts the connection of a request without a reply."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
-def _suffer(faults: Faults):
-    """Makes the filter that freezes and resets all but the tests' calls."""
+def _fault_middleware(faults: Faults):
+    """Builds the middleware that applies faults, except to control calls."""
 
     @web.middleware
-    async def suffer(request, handler):
+    async def apply_faults(request, handler):
         if request.path.startswith("/_standin/"):
             return await handler(request)
         loop = asyncio.get_running_loop()
@@ -152,18 +152,18 @@
             return abort(request)
         return await handler(request)
 
-    return suffer
+    return apply_faults
 
 
-def _controller(faults: Faults, control):
+def _control_handler(faults: Faults, control):
     fields = {field.name for field in dataclasses.fields(faults)}
 
     async def handle(request: web.Request) -> web.Response:
         changes = msgspec.json.decode(await request.read())
-        frozen_s = changes.pop("freeze_s", None)
-        if frozen_s is not None:
+        freeze_s = changes.pop("freeze_s", None)
+        if freeze_s is not None:
             now = asyncio.get_running_loop().time()
-            faults.frozen_until = now + frozen_s
+            faults.frozen_until = now + freeze_s
         for name in fields & changes.keys():
             setattr(faults, name, changes.pop(name))
         if changes:
@@ -175,7 +175,7 @@
     return handle
 
 
-def _teller(truth):
+def _truth_handler(truth):
     async def handle(request: web.Request) -> web.Response:
         return reply(truth())
 
--- a/copperloom/standins/settings.py
+++ b/copperloom/standins/settings.py
@@ -1,7 +1,8 @@
-"""Settings of the stand-ins but the platform's.
+"""Settings of the stand-ins, except those of the platform stand-in.
 
-An engine's speeds are those of a simulated engine, of which `time_scale`
-seconds pass in a second; its lags and life times are in real seconds.
+An engine's speeds and durations of work are in simulated time, of which
+`time_scale` seconds pass per real second. Its lags and retention times are in
+real seconds.
 """
 
 import dataclasses
