--- a/copperloom/standins/platform.py
+++ b/copperloom/standins/platform.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform: table, object store, instance list, weights.
 
-It keeps all in memory and misbehaves on request: outages, no answers, slow
-spells, and writes that take effect although their confirmation is lost. See
-docs/PROTOCOLS.md.
+All data is in memory. Tests can inject faults: outages, requests that are
+never answered, delays, and writes that take effect although their confirmation
+is lost. The protocol is in docs/PROTOCOLS.md.
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 
 __all__ = ["Control", "PlatformStandinSettings", "serve"]
 
-_MOST_ROWS = 25
-_MOST_SCAN = 1000
-_HISTORY_S = 120.0
-_BODY_BYTES = 64_000_000
+_MAX_ROWS = 25
+_MAX_SCAN_ROWS = 1000
+_VIEW_RETENTION_S = 120.0
+_MAX_BODY_BYTES = 64_000_000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,24 +55,26 @@
 
 
 class Control(msgspec.Struct, omit_defaults=True):
-    """What a control call changes; what it leaves out stays as it is.
+    """Changes that a control request makes; absent fields change nothing.
 
     Attributes:
         outage: Services ("table", "objects", "instances", "weights") that
-            answer 503.
-        black_hole: Services that take requests and never answer.
-        slow_s: Delay before each answer.
-        lose_confirmations: How many further transactions take effect, then
-            have their connection closed instead of an answer.
-        drop_writes: How many further transactions have no effect and their
-            connection closed.
-        reads_per_s: Rate of reads.
-        writes_per_s: Rate of rows written.
-        weights_per_s: Rate of permits.
-        list_lag_s: Most age of a view of the instance list.
-        instance_ttl_s: Life of an instance not told again.
-        list_targets: Rows of targets to show in the instance list for good.
-        unlist_targets: Names of targets to take off it.
+            reply with 503.
+        black_hole: Services that accept requests and never reply.
+        slow_s: Delay before each reply, in seconds.
+        lose_confirmations: Number of further transactions that take effect
+            and whose connection is then aborted without a reply.
+        drop_writes: Number of further transactions that have no effect and
+            whose connection is aborted without a reply.
+        reads_per_s: Maximum rate of reads.
+        writes_per_s: Maximum rate of rows written.
+        weights_per_s: Maximum rate of permits of the weight store.
+        list_lag_s: Maximum age of a view of the instance list, in seconds.
+        instance_ttl_s: Time after which an instance that does not announce
+            itself again is dropped from the list, in seconds.
+        list_targets: Rows of targets to add to the instance list without
+            expiry.
+        unlist_targets: Names of targets to remove from the list.
     """
 
     outage: list[str] | None = None
@@ -89,22 +91,22 @@
     unlist_targets: list[str] = []
 
 
-class _Transact(msgspec.Struct):
+class _TransactBody(msgspec.Struct):
     conditions: list[interface.Condition]
     writes: list[interface.Write]
 
 
-class _Weights(msgspec.Struct):
+class _WeightsBody(msgspec.Struct):
     count: int
 
 
-class _Bucket:
-    """Permits that refill with time, up to those of one second."""
+class _TokenBucket:
+    """A token bucket that holds at most the permits of one second."""
 
     def __init__(self, rate: float, now: float):
         self.rate = rate
         self.level = rate
-        self.at = now
+        self.refilled_at = now
 
 
 class _State:
@@ -124,17 +126,17 @@
         self.list_lag_s = section.list_lag_s
         self.instance_ttl_s = section.instance_ttl_s
         self.buckets = {
-            "reads": _Bucket(section.reads_per_s, now),
-            "writes": _Bucket(section.writes_per_s, now),
-            "weights": _Bucket(section.weights_per_s, now),
+            "reads": _TokenBucket(section.reads_per_s, now),
+            "writes": _TokenBucket(section.writes_per_s, now),
+            "weights": _TokenBucket(section.weights_per_s, now),
         }
 
 
 async def serve(program: PlatformStandinSettings) -> server.Server:
-    """Starts a platform."""
+    """Starts a platform and returns its server."""
     state = _State(program.platform, time.monotonic())
     app = web.Application(
-        client_max_size=_BODY_BYTES, middlewares=[_faults(state)]
+        client_max_size=_MAX_BODY_BYTES, middlewares=[_fault_middleware(state)]
     )
     app.add_routes(_routes(state))
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -143,7 +145,7 @@
     await web.TCPSite(runner, host, int(port)).start()
     address = ":".join(str(part) for part in runner.addresses[0][:2])
     return server.Server(
-        {"listen": address}, lambda: _tell(state), runner.cleanup
+        {"listen": address}, lambda: _snapshot(state), runner.cleanup
     )
 
 
@@ -168,7 +170,7 @@
     ]
 
 
-def _faults(state: _State):
+def _fault_middleware(state: _State):
     @web.middleware
     async def middleware(request, handler):
         service = request.path.split("/")[1]
@@ -179,129 +181,137 @@
         if state.slow_s:
             await asyncio.sleep(state.slow_s)
         if service in state.outage:
-            return _refusal(503, "outage", 1.0)
+            return _error_response(503, "outage", 1.0)
         return await handler(request)
 
     return middleware
 
 
-def _refusal(status: int, text: str, retry_after_s: float) -> web.Response:
+def _error_response(
+    status: int, text: str, retry_after_s: float
+) -> web.Response:
     body = {"error": text, "ran": False, "retry_after_s": retry_after_s}
     return web.json_response(body, status=status)
 
 
-def _json(value) -> web.Response:
+def _json_response(value) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(value), content_type="application/json"
     )
 
 
-def _take(state: _State, name: str, count: float) -> web.Response | None:
-    """Takes permits, or returns the refusal that says when to come back."""
+def _acquire(state: _State, name: str, count: float) -> web.Response | None:
+    """Acquires permits, or returns a refusal with the time to retry after."""
     bucket = state.buckets[name]
     now = time.monotonic()
-    refill = (now - bucket.at) * bucket.rate
+    refill = (now - bucket.refilled_at) * bucket.rate
     bucket.level = min(max(bucket.rate, 1.0), bucket.level + refill)
-    bucket.at = now
+    bucket.refilled_at = now
     if bucket.level < count:
         state.calls["rate_limited"] += 1
         wait_s = (count - bucket.level) / max(bucket.rate, 1e-3)
-        return _refusal(429, "over the rate", wait_s)
+        return _error_response(429, "rate limit exceeded", wait_s)
     bucket.level -= count
     return None
 
 
 async def _transact(state: _State, request: web.Request) -> web.Response:
-    asked = msgspec.json.decode(await request.read(), type=_Transact)
+    body = msgspec.json.decode(await request.read(), type=_TransactBody)
     state.calls["transact"] += 1
-    names = {c.key for c in asked.conditions} | {w.key for w in asked.writes}
-    if len(names) > _MOST_ROWS:
-        return _refusal(400, f"more than {_MOST_ROWS} rows", 0)
-    limited = _take(state, "writes", len(asked.writes))
+    keys = {c.key for c in body.conditions} | {w.key for w in body.writes}
+    if len(keys) > _MAX_ROWS:
+        return _error_response(400, f"more than {_MAX_ROWS} rows", 0)
+    limited = _acquire(state, "writes", len(body.writes))
     if limited is not None:
         return limited
     if state.drop_writes > 0:
         state.drop_writes -= 1
-        return _hang_up(request)
-    conflicts = table.transact(state.table, asked.conditions, asked.writes)
+        return _abort(request)
+    conflicts = table.transact(state.table, body.conditions, body.writes)
     if state.lose_confirmations > 0:
         state.lose_confirmations -= 1
-        return _hang_up(request)
-    return _json({"committed": not conflicts, "conflicts": conflicts})
+        return _abort(request)
+    return _json_response({"committed": not conflicts, "conflicts": conflicts})
 
 
-def _hang_up(request: web.Request) -> web.Response:
+def _abort(request: web.Request) -> web.Response:
     request.transport.abort()
     return web.Response()
 
 
 async def _read(state: _State, request: web.Request) -> web.Response:
     state.calls["read"] += 1
-    limited = _take(state, "reads", 1)
-    return limited or _json(table.read(state.table, request.query["key"]))
+    limited = _acquire(state, "reads", 1)
+    return limited or _json_response(
+        table.read(state.table, request.query["key"])
+    )
 
 
 async def _scan(state: _State, request: web.Request) -> web.Response:
     state.calls["scan"] += 1
-    limited = _take(state, "reads", 1)
+    limited = _acquire(state, "reads", 1)
     if limited is not None:
         return limited
-    limit = min(int(request.query.get("limit", _MOST_SCAN)), _MOST_SCAN)
+    limit = min(int(request.query.get("limit", _MAX_SCAN_ROWS)), _MAX_SCAN_ROWS)
     after = request.query.get("after", "")
     rows = table.scan(state.table, request.query["prefix"], after, limit)
-    return _json({"rows": rows})
+    return _json_response({"rows": rows})
 
 
 async def _get_object(state: _State, request: web.Request) -> web.Response:
     state.calls["get_object"] += 1
     data = state.objects.get(request.match_info["name"])
     if data is None:
-        return _refusal(404, "no such object", 0)
+        return _error_response(404, "unknown object", 0)
     return web.Response(body=data)
 
 
 async def _put_object(state: _State, request: web.Request) -> web.Response:
     state.calls["put_object"] += 1
     state.objects[request.match_info["name"]] = await request.read()
-    return _json({})
+    return _json_response({})
 
 
 async def _announce(state: _State, request: web.Request) -> web.Response:
     state.calls["announce"] += 1
     row = msgspec.json.decode(await request.read(), type=interface.InstanceRow)
     state.announced[row.name] = (row, time.monotonic())
-    _look(state)
-    return _json({})
+    _record_view(state)
+    return _json_response({})
 
 
-def _look(state: _State) -> None:
-    """Notes what the list is now, for views that lag."""
+def _record_view(state: _State) -> None:
+    """Stores the present instance list, so that later reads can lag."""
     now = time.monotonic()
-    gone = now - state.instance_ttl_s
-    rows = [row for row, told in state.announced.values() if told >= gone]
+    expired_before = now - state.instance_ttl_s
+    rows = [
+        row
+        for row, announced_at in state.announced.values()
+        if announced_at >= expired_before
+    ]
     state.views.append((now, rows + list(state.targets.values())))
-    while len(state.views) > 1 and state.views[1][0] < now - _HISTORY_S:
+    while len(state.views) > 1 and state.views[1][0] < now - _VIEW_RETENTION_S:
         state.views.popleft()
 
 
 async def _instances(state: _State, request: web.Request) -> web.Response:
     state.calls["instances"] += 1
-    _look(state)
-    # Views of different ages, so that a later read may see an older list.
+    _record_view(state)
+    # The age varies, so that a later read may see an older list.
     lag_s = state.list_lag_s * state.random.uniform(0.5, 1.0)
     until = time.monotonic() - lag_s
     rows = state.views[0][1]
-    for at, view in reversed(state.views):
-        if at <= until:
+    for viewed_at, view in reversed(state.views):
+        if viewed_at <= until:
             rows = view
             break
-    return _json({"instances": rows})
+    return _json_response({"instances": rows})
 
 
 async def _weights(state: _State, request: web.Request) -> web.Response:
     state.calls["weights"] += 1
-    asked = msgspec.json.decode(await request.read(), type=_Weights)
-    return _take(state, "weights", asked.count) or _json({})
+    body = msgspec.json.decode(await request.read(), type=_WeightsBody)
+    return _acquire(state, "weights", body.count) or _json_response({})
 
 
 async def _control(state: _State, request: web.Request) -> web.Response:
@@ -327,18 +337,18 @@
         state.targets[row.name] = row
     for name in control.unlist_targets:
         state.targets.pop(name, None)
-    _look(state)
-    return _json({})
+    _record_view(state)
+    return _json_response({})
 
 
 async def _truth(state: _State, request: web.Request) -> web.Response:
-    return _json(_tell(state))
+    return _json_response(_snapshot(state))
 
 
-def _tell(state: _State) -> dict:
+def _snapshot(state: _State) -> dict:
     return {
         "rows": list(state.table.rows.values()),
-        "objects": {name: len(d) for name, d in state.objects.items()},
+        "objects": {name: len(data) for name, data in state.objects.items()},
         "calls": {**state.calls, "rows_written": state.table.written},
         "instances": sorted(state.announced),
     }
--- a/copperloom/standins/proxy.py
+++ b/copperloom/standins/proxy.py
@@ -1,8 +1,9 @@
-"""A TCP proxy that injects faults, for tests and trials.
+"""A TCP proxy that injects network faults.
 
-One process carries several pairs of a listening and an upstream address. The
-control call takes `pair` (its name; none means all) and any field of
-`PairFaults`.
+One process serves several pairs of a listening and an upstream address. A
+control request has `pair` (name of a pair; all pairs if absent), any fields of
+`PairFaults`, `reset` (whether to reset the open connections) and `upstream`
+(new upstream address).
 """
 
 import asyncio
@@ -17,26 +18,26 @@
 __all__ = ["Pair", "PairFaults", "open_pair", "reset", "serve"]
 
 _READ_BYTES = 65_536
-_LOOK_S = 0.02
-# On, no time to linger: the kernel sends a reset instead of an orderly end.
-_RESET = struct.pack("ii", 1, 0)
+_POLL_INTERVAL_S = 0.02
+# SO_LINGER with a zero timeout: closing sends a RST instead of a FIN.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass
 class PairFaults:
-    """What a pair does to its connections, those open now included.
+    """Faults of a pair, which apply to open and to new connections.
 
     Attributes:
-        refuse: New connections are reset at once.
-        drop_up: Bytes towards the upstream are swallowed, in silence.
-        drop_down: Bytes towards the caller are swallowed, in silence.
-        hold_up: Bytes towards the upstream wait until this is off.
-        hold_down: Bytes towards the caller wait until this is off.
-        delay_s: Time that all bytes take in each direction.
-        cut_up_after: Bytes towards the upstream, from now on, after which
-            the connection is reset; -1 never.
-        cut_down_after: The same towards the caller.
-        half_open: An end that closes is not told to the other.
+        refuse: Whether new connections are reset at once.
+        drop_up: Whether bytes to the upstream are silently discarded.
+        drop_down: Whether bytes to the client are silently discarded.
+        hold_up: Whether bytes to the upstream are held back.
+        hold_down: Whether bytes to the client are held back.
+        delay_s: Delay of each read in either direction, in seconds.
+        cut_up_after: Number of further bytes to the upstream after which the
+            connection is reset; -1 for never.
+        cut_down_after: The same for bytes to the client.
+        half_open: Whether the close of one end is hidden from the other.
     """
 
     refuse: bool = False
@@ -51,17 +52,17 @@
 
 
 class Pair:
-    """One listening address and its upstream.
+    """A listening address and its upstream.
 
     Attributes:
-        listen: IP:port; port 0 takes a free one.
-        upstream: IP:port.
-        faults: What it does.
-        writers: Transports of its open connections, to reset them.
-        tasks: Its connections' tasks.
-        accepted: Connections accepted.
-        bytes_up: Bytes passed on to the upstream.
-        bytes_down: Bytes passed on to the callers.
+        listen: IP:port to listen on; port 0 picks a free one.
+        upstream: IP:port to connect to.
+        faults: Faults that are injected at present.
+        writers: Writers of both ends of the open connections.
+        tasks: Tasks that serve the connections.
+        accepted: Number of connections accepted.
+        bytes_up: Bytes forwarded to the upstream.
+        bytes_down: Bytes forwarded to the clients.
     """
 
     def __init__(self, listen: str, upstream: str):
@@ -76,7 +77,7 @@
 
 
 async def serve(program: settings.ProxySettings) -> server.Server:
-    """Starts a proxy."""
+    """Starts a proxy and returns its server."""
     pairs = dict(_parse(text) for text in program.proxy.pairs)
     listeners = []
     addresses = {}
@@ -96,7 +97,7 @@
         program.proxy.listen,
         [],
         faults=server.Faults(),
-        truth=lambda: {name: _tell(pair) for name, pair in pairs.items()},
+        truth=lambda: {name: _snapshot(pair) for name, pair in pairs.items()},
         control=lambda changes: _control(pairs, changes),
         close=close,
     )
@@ -111,7 +112,7 @@
     return name.strip(), Pair(listen.strip(), upstream.strip())
 
 
-def _tell(pair: Pair) -> dict:
+def _snapshot(pair: Pair) -> dict:
     return {
         "accepted": pair.accepted,
         "open": len(pair.writers) // 2,
@@ -122,16 +123,16 @@
 
 def _control(pairs: dict[str, Pair], changes: dict) -> None:
     name = changes.pop("pair", None)
-    chosen = list(pairs.values()) if name is None else [pairs[name]]
-    wants_reset = changes.pop("reset", False)
+    selected = list(pairs.values()) if name is None else [pairs[name]]
+    must_reset = changes.pop("reset", False)
     upstream = changes.pop("upstream", None)
-    for pair in chosen:
+    for pair in selected:
         pair.faults = msgspec.convert(
             {**dataclasses.asdict(pair.faults), **changes}, PairFaults
         )
         if upstream is not None:
             pair.upstream = upstream
-        if wants_reset:
+        if must_reset:
             reset(pair)
 
 
@@ -144,21 +145,21 @@
 def _abort(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     if sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     writer.transport.abort()
 
 
 async def open_pair(pair: Pair) -> asyncio.Server:
-    """Listens; the pair then tells the address that it got."""
+    """Starts to listen and stores the actual address in `pair.listen`."""
 
     async def accept(reader, writer) -> None:
         pair.accepted += 1
         task = asyncio.current_task()
         pair.tasks.add(task)
         try:
-            await _carry(pair, reader, writer)
+            await _forward(pair, reader, writer)
         except asyncio.CancelledError:
-            # Only `close` cancels; asyncio would log it as an error.
+            # Cancelled on close; asyncio would log this as an error.
             pass
         finally:
             pair.tasks.discard(task)
@@ -170,8 +171,8 @@
     return listener
 
 
-async def _carry(pair: Pair, reader, writer) -> None:
-    """Carries one connection until both ends are done."""
+async def _forward(pair: Pair, reader, writer) -> None:
+    """Forwards one connection in both directions until both ends close."""
     if pair.faults.refuse:
         _abort(writer)
         return
@@ -197,13 +198,13 @@
 
 
 async def _pump(pair: Pair, reader, writer, *, up: bool) -> None:
-    """Passes bytes one way; its faults are looked at for each read."""
+    """Forwards bytes in one direction and applies the faults to each read."""
     name = "up" if up else "down"
     while data := await reader.read(_READ_BYTES):
         if pair.faults.delay_s:
             await asyncio.sleep(pair.faults.delay_s)
         while getattr(pair.faults, f"hold_{name}"):
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         if getattr(pair.faults, f"drop_{name}"):
             continue
         data, cut = _limit(pair.faults, f"cut_{name}_after", data)
@@ -214,15 +215,24 @@
         if cut:
             raise ConnectionResetError
     while pair.faults.half_open and not writer.is_closing():
-        await asyncio.sleep(_LOOK_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
     writer.write_eof()
 
 
 def _limit(faults: PairFaults, name: str, data: bytes) -> tuple[bytes, bool]:
-    """Returns what may pass, and whether the connection is reset then."""
-    left = getattr(faults, name)
-    if left < 0:
+    """Applies a limit on the bytes to forward.
+
+    Args:
+        faults: Faults, whose limit is reduced by the bytes to forward.
+        name: Field of `faults` that has the limit.
+        data: Bytes read.
+
+    Returns:
+        The bytes to forward and whether to reset the connection after them.
+    """
+    remaining = getattr(faults, name)
+    if remaining < 0:
         return data, False
-    passed = data[:left]
-    setattr(faults, name, left - len(passed))
-    return passed, len(passed) == left
+    forwarded = data[:remaining]
+    setattr(faults, name, remaining - len(forwarded))
+    return forwarded, len(forwarded) == remaining
--- a/copperloom/standins/table.py
+++ b/copperloom/standins/table.py
@@ -1,4 +1,4 @@
-"""The rows of the platform stand-in's table service."""
+"""The table service of the platform stand-in."""
 
 import sortedcontainers
 
@@ -8,11 +8,11 @@
 
 
 class Table:
-    """Rows in the order of their keys.
+    """Versioned rows in the order of their keys.
 
     Attributes:
-        rows: By key.
-        written: Rows written so far.
+        rows: Rows by key.
+        written: Number of rows written so far, including deletions.
     """
 
     def __init__(self):
@@ -21,14 +21,21 @@
 
 
 def read(table: Table, key: str) -> interface.Row:
-    """Returns a row; version 0 if there is none."""
+    """Returns a row, or an empty row of version 0 if the key is absent."""
     return table.rows.get(key) or interface.Row(key, None, 0)
 
 
 def scan(
     table: Table, prefix: str, after: str, limit: int
 ) -> list[interface.Row]:
-    """Returns rows of a prefix after a key, in order."""
+    """Returns rows whose keys have a prefix, in the order of their keys.
+
+    Args:
+        table: The table to read.
+        prefix: Prefix of the keys.
+        after: Key after which to start; "" starts at the first.
+        limit: Maximum number of rows.
+    """
     first = max(after, prefix)
     rows = []
     for key in table.rows.irange(first, inclusive=(first != after, True)):
@@ -43,13 +50,22 @@
     conditions: list[interface.Condition],
     writes: list[interface.Write],
 ) -> list[interface.Row]:
-    """Makes all writes if all conditions hold.
+    """Applies all writes if all conditions hold, and else none.
+
+    Args:
+        table: The table to change.
+        conditions: Versions that rows must have.
+        writes: New values by key; None deletes the row.
 
     Returns:
         The rows whose condition did not hold.
     """
-    seen = [(read(table, c.key), c) for c in conditions]
-    conflicts = [row for row, wanted in seen if row.version != wanted.version]
+    checked = [
+        (read(table, condition.key), condition) for condition in conditions
+    ]
+    conflicts = [
+        row for row, expected in checked if row.version != expected.version
+    ]
     if not conflicts:
         for write in writes:
             _write(table, write)
