--- a/copperloom/standins/__init__.py
+++ b/copperloom/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for outside systems, for tests and trials."""
+"""Stand-ins for external systems, for tests and experiments."""
--- a/copperloom/standins/tests/__init__.py
+++ b/copperloom/standins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of copperloom.standins."""
+"""Tests of the stand-ins."""
--- a/copperloom/standins/tests/fixtures.py
+++ b/copperloom/standins/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Stand-ins on the test's own loop; each is stopped when the case ends."""
+"""Stand-ins on the event loop of a test; they stop when the test ends."""
 
 import asyncio
 import time
@@ -22,29 +22,35 @@
     "wait_until",
 ]
 
-_FAST = {"time_scale": 50.0, "report_lag_s": 0.0}
+_FAST_ENGINE = {"time_scale": 50.0, "report_lag_s": 0.0}
 
 
 async def start_engine(case, **changes):
-    """Starts an engine, fast unless told otherwise; returns its server."""
-    spec = settings.EngineSection(**{**_FAST, **changes})
+    """Starts an engine and returns its server.
+
+    Args:
+        case: The test case, whose cleanup stops the engine.
+        **changes: Settings; by default the engine runs in fast simulated
+            time and reports its load without lag.
+    """
+    spec = settings.EngineSection(**{**_FAST_ENGINE, **changes})
     return await _start(case, engine, settings.EngineSettings(spec))
 
 
 async def start_service(case, **changes):
-    """Starts a plain service; returns its server."""
+    """Starts a plain service and returns its server."""
     spec = settings.ServiceSection(**changes)
     return await _start(case, service, settings.ServiceSettings(spec))
 
 
 async def start_proxy(case, upstream: str):
-    """Starts a proxy with the one pair "p"; returns its server."""
+    """Starts a proxy with one pair, named "p", and returns its server."""
     spec = settings.ProxySection(pairs=(f"p=127.0.0.1:0>{upstream}",))
     return await _start(case, proxy, settings.ProxySettings(spec))
 
 
 async def start_canned(case, body: bytes) -> str:
-    """Answers each POST to /streams with a body; returns the address."""
+    """Starts a server that replies to POST /streams with a fixed body."""
 
     async def handle(request: web.Request) -> web.Response:
         return web.Response(body=body)
@@ -60,19 +66,19 @@
 
 
 def encode(value) -> bytes:
-    """Returns a value as JSON."""
+    """Encodes a value as JSON."""
     return msgspec.json.encode(value)
 
 
 async def connect_targets(case, **limits):
-    """Returns a client of targets that is closed when the case ends."""
+    """Returns a client of targets, which is closed when the test ends."""
     targets = http.connect(**{"connect_s": 1.0, **limits})
     case.addAsyncCleanup(targets.close)
     return targets
 
 
 def ask(stream: str, **changes) -> interface.StreamOpen:
-    """Returns a short prompt with a short answer."""
+    """Builds a request with a short prompt and a short answer."""
     fields = {
         "owner": "e1.b1",
         "organisation": "org",
@@ -86,16 +92,18 @@
 
 
 async def read_all(pieces) -> str:
-    """Returns the text of a whole answer."""
-    return "".join([p.text async for some in pieces for p in some])
+    """Reads an answer to its end and returns its text."""
+    return "".join([piece.text async for chunk in pieces for piece in chunk])
 
 
 async def wait_until(condition, *, limit_s: float = 10.0) -> None:
-    """Waits until a condition holds, or fails."""
-    end = time.monotonic() + limit_s
+    """Waits until a condition holds and fails after `limit_s` seconds."""
+    deadline = time.monotonic() + limit_s
     while not condition():
-        if time.monotonic() > end:
-            raise AssertionError("the condition did not come true in time")
+        if time.monotonic() > deadline:
+            raise AssertionError(
+                "the condition did not hold within the time limit"
+            )
         await asyncio.sleep(0.005)
 
 
