--- a/copperloom/history/__init__.py
+++ b/copperloom/history/__init__.py
@@ -1,10 +1,10 @@
-"""Histories of concurrent runs, and checkers of the promises over them.
+"""Histories of concurrent runs and checkers of the system's guarantees.
 
-A history holds what callers saw, what really ran at the targets, what each
-entry said of its configuration, and what was done to the system. The
-checkers are pure functions of a history: they find broken promises after
-the run, so that a test of failures needs no knowledge of the order in which
-things happened to go.
+A history records the outcomes that callers saw, the work that ran at the
+targets, the configuration that each entry reported, and the faults and changes
+applied to the system. The checkers are pure functions that find violations in
+a history after the run, so that a test with faults does not depend on the
+order in which concurrent events happen.
 """
 
 from copperloom.history.checker import check
--- a/copperloom/history/recorder.py
+++ b/copperloom/history/recorder.py
@@ -1,7 +1,7 @@
-"""What a history holds. All times are seconds of one monotonic clock.
+"""Records of a history.
 
-The processes of a test share a machine, and so its monotonic clock: times
-that callers, stand-ins and the test take can be compared.
+All times are seconds of the monotonic clock. The processes of a test run on
+one machine and share its clock, so their times can be compared.
 """
 
 import dataclasses
@@ -23,10 +23,16 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a call ended, as its caller saw it.
+    """Outcome of a call, as its caller saw it.
 
-    CUT: the connection broke. UNREACHED: there was no connection, so no
-    request either. NONE: the caller gave up waiting.
+    Attributes:
+        ANSWERED: A complete answer arrived.
+        NOT_RUN: The reply was an error that reports that no work ran.
+        MAY_HAVE_RUN: The reply was an error that leaves open whether work ran.
+        RAN_AND_FAILED: The reply was an error that reports a failed run.
+        CUT: The connection was interrupted.
+        UNREACHED: No connection was established, so no request was sent.
+        NONE: The caller timed out.
     """
 
     ANSWERED = "answered"
@@ -40,23 +46,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call, as its caller saw it.
+    """A call, as its caller saw it.
 
     Attributes:
-        request: Request id that the entry gave ("" if none was seen).
-        entry: Instance that it was sent to.
-        organisation: Who called.
+        request: Request id that the entry returned ("" if none).
+        entry: Instance that the call was sent to.
+        organisation: Organisation of the caller.
         key: Idempotency key ("" if none).
-        repeatable: Whether it may run more than once.
-        invoked: When it was sent.
-        returned: When it ended.
-        limit_s: Its time limit.
-        outcome: How it ended.
-        code: Numbered result code, 0 if there was none.
-        text: The answer received.
-        expected: The answer that is its own.
-        retry_after_s: When the caller was told to come back, if at all.
-        cancelled: Whether the caller went away on purpose.
+        repeatable: Whether the work may run more than once.
+        invoked: When the call was sent.
+        returned: When the call ended.
+        limit_s: Time limit of the call, in seconds.
+        outcome: Outcome of the call.
+        code: Number of the error code; 0 if there was none.
+        text: Text of the answer received.
+        expected: Text of the correct answer.
+        retry_after_s: Delay before a retry that the reply asked for, in
+            seconds; None if it named none.
+        cancelled: Whether the caller disconnected on purpose.
     """
 
     request: str
@@ -77,14 +84,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRun:
-    """One run of work at a target, by the target's own account.
+    """A run of work at a target, as the target recorded it.
 
     Attributes:
-        target: Target name.
+        target: Name of the target.
         stream: Name that the entry gave to the work.
-        organisation: For whom, where the target knows.
+        organisation: Organisation of the work; "" if the target does not know
+            it.
         key: Idempotency key ("" if none).
-        started: When the target took the work.
+        started: When the target accepted the work.
     """
 
     target: str
@@ -96,15 +104,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """What an entry said of its configuration.
+    """Configuration that an entry reported.
 
     Attributes:
-        entry: Instance name.
-        boot: The run of its process.
-        version: Version in force there.
-        preset: Preset in force there.
-        time: When it was asked.
-        serving: Whether it said that it admits work.
+        entry: Name of the instance.
+        boot: Boot id of the entry's process.
+        version: Configuration version that is in force at the entry.
+        preset: Preset that is in force at the entry.
+        time: When the report was requested.
+        serving: Whether the entry reported that it admits work.
     """
 
     entry: str
@@ -117,12 +125,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change that its operator was told is accepted.
+    """A configuration change that was confirmed to its operator.
 
     Attributes:
-        version: The version that it made.
-        operator: Who made it.
-        time: When the operator was told.
+        version: Configuration version that the change created.
+        operator: Operator who made the change.
+        time: When the confirmation arrived.
     """
 
     version: int
@@ -132,12 +140,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """A target that was told to leave.
+    """A period in which a target was draining.
 
     Attributes:
-        target: Target name.
-        time: When it was accepted.
-        until: When it was admitted again.
+        target: Name of the target.
+        time: When the request to drain was accepted.
+        until: When the target was admitted again.
     """
 
     target: str
@@ -147,7 +155,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """A planned stop of an entry, from the signal to the process's end."""
+    """A planned stop of an entry.
+
+    Attributes:
+        entry: Name of the instance.
+        time: When the signal to stop was sent.
+        ended: When the process ended.
+    """
 
     entry: str
     time: float
@@ -156,12 +170,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault that may cut callers of one entry off.
+    """A fault that may interrupt calls at an entry.
 
     Attributes:
-        entry: Instance that was killed, frozen or cut from its callers.
-        since: When it began.
-        until: When it ended.
+        entry: Instance that was killed, frozen or disconnected from callers.
+        since: When the fault began.
+        until: When the fault ended.
     """
 
     entry: str
@@ -171,7 +185,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Memory:
-    """An engine's own count of memory in use, once all work was over."""
+    """Memory in use that an engine reported after all work had ended.
+
+    Attributes:
+        target: Name of the engine.
+        kv_tokens: KV memory in use, in tokens.
+        streams: Number of streams that the engine still runs or holds.
+        time: When the report was requested.
+    """
 
     target: str
     kv_tokens: int
@@ -181,7 +202,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise: which one, and what shows it."""
+    """A violation of a guarantee.
+
+    Attributes:
+        promise: Name of the guarantee.
+        detail: Evidence of the violation.
+    """
 
     promise: str
     detail: str
@@ -189,7 +215,18 @@
 
 @dataclasses.dataclass
 class History:
-    """Everything that was seen in one run; only ever appended to."""
+    """Observations of one run, in lists that only grow.
+
+    Attributes:
+        calls: Calls, as their callers saw them.
+        runs: Runs of work at the targets.
+        reads: Configurations that entries reported.
+        accepted: Configuration changes that were confirmed.
+        leaving: Periods in which targets were draining.
+        stops: Planned stops of entries.
+        faults: Injected faults.
+        memory: Memory in use that engines reported.
+    """
 
     calls: list[Call] = dataclasses.field(default_factory=list)
     runs: list[TargetRun] = dataclasses.field(default_factory=list)
