--- a/copperloom/tests/__init__.py
+++ b/copperloom/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package as a whole, and shared fixtures."""
+"""System tests of the whole package, and the fixtures that they share."""
--- a/copperloom/tests/callers.py
+++ b/copperloom/tests/callers.py
@@ -1,4 +1,4 @@
-"""Calls an entry as a caller would, and records what the caller saw."""
+"""Client for tests: calls an entry and records what the caller received."""
 
 import asyncio
 import dataclasses
@@ -12,29 +12,29 @@
 from copperloom.standins import answers
 from copperloom.tests import systems
 
-__all__ = ["Ask", "Seen", "ask", "resume", "send_and_read_nothing"]
+__all__ = ["Ask", "ReceivedAnswer", "ask", "resume", "send_and_read_nothing"]
 
-# A caller waits longer than its limit, so that a late outcome is told apart
-# from none.
-_PATIENCE_S = 8.0
-_SMALL_BUFFER_BYTES = 4096
-_DATA = b"data: "
-_DONE = b"[DONE]"
+# Callers wait beyond their time limit to distinguish a late outcome from a
+# missing one.
+_LATE_OUTCOME_S = 8.0
+_RECEIVE_BUFFER_BYTES = 4096
+_DATA_PREFIX = b"data: "
+_STREAM_END = b"[DONE]"
 
 
 @dataclasses.dataclass(frozen=True)
 class Ask:
-    """What a caller asks for.
+    """A caller's request.
 
     Attributes:
-        prompt: Its text, unique in a test.
-        organisation: Who asks.
-        tokens: Length of the answer.
+        prompt: Prompt text, unique within a test.
+        organisation: Organisation that sends the request.
+        tokens: Length of the answer, in tokens.
         key: Idempotency key ("" if none).
-        repeatable: Whether it may run more than once.
-        limit_s: Time limit.
-        resumable: Whether the work goes on when the connection breaks.
-        service: Whether it is for the plain service.
+        repeatable: Whether the request may run more than once.
+        limit_s: Time limit, in seconds.
+        resumable: Whether generation continues when the connection breaks.
+        service: Whether the request is for the plain service.
     """
 
     prompt: str
@@ -48,16 +48,16 @@
 
 
 @dataclasses.dataclass
-class Seen:
-    """What came of an answer so far.
+class ReceivedAnswer:
+    """The part of an answer received so far.
 
     Attributes:
         request: Request id.
-        stream: Path to resume it at.
-        text: What came.
-        done: Whether the end came.
-        error: The error that came in place of the end.
-        retry_after: The header of that name.
+        stream: Stream name, with which the answer can be resumed.
+        text: Text received.
+        done: Whether the answer is complete.
+        error: Error received instead of the rest of the answer.
+        retry_after: Value of the Retry-After header.
         status: HTTP status.
         headers: All headers of the reply.
     """
@@ -72,76 +72,80 @@
     headers: dict = dataclasses.field(default_factory=dict)
 
 
-def expected(want: Ask) -> str:
-    """Returns the whole answer that is a request's own."""
-    if want.service:
-        size = len(want.prompt)
+def expected(req: Ask) -> str:
+    """Returns the complete answer that a request must get."""
+    if req.service:
+        size = len(req.prompt)
         return json.dumps(
-            {"path": f"/{want.prompt}", "key": want.key, "bytes": size},
+            {"path": f"/{req.prompt}", "key": req.key, "bytes": size},
             separators=(",", ":"),
         )
     return answers.whole(
-        want.organisation, systems.CHAT, _messages(want), want.tokens
+        req.organisation, systems.CHAT, _messages(req), req.tokens
     )
 
 
 async def ask(
     session: aiohttp.ClientSession,
     entry,
-    want: Ask,
+    req: Ask,
     *,
-    seen: Seen | None = None,
+    received: ReceivedAnswer | None = None,
     address: str = "",
 ) -> Call:
-    """Sends a request and returns what its caller saw.
+    """Sends a request and returns the call as its caller saw it.
 
     Args:
-        session: The HTTP client.
-        entry: The entry's process.
-        want: The request.
-        seen: Filled in while the answer comes.
-        address: Of a proxy before the entry, if there is one.
+        session: HTTP client.
+        entry: Process of the entry.
+        req: The request.
+        received: Updated while the answer arrives.
+        address: Address of a proxy in front of the entry ("" if none).
     """
     path = "/v1/chat/completions"
-    if want.service:
-        path = f"/v1/services/{systems.SERVICE}/{want.prompt}"
+    if req.service:
+        path = f"/v1/services/{systems.SERVICE}/{req.prompt}"
     url = f"http://{address or entry.address}{path}"
-    sent = session.post(url, data=_body(want), headers=_headers(want))
-    return await _record(entry, want, sent, seen or Seen())
+    sent = session.post(url, data=_body(req), headers=_headers(req))
+    return await _record(entry, req, sent, received or ReceivedAnswer())
 
 
 async def resume(
-    session: aiohttp.ClientSession, entry, want: Ask, seen: Seen
+    session: aiohttp.ClientSession, entry, req: Ask, received: ReceivedAnswer
 ) -> Call:
-    """Reads on a cut answer at another entry; `seen` goes on from its end."""
-    offset = seen.text.count(" ")
-    path = f"/v1/streams/{seen.stream}?offset={offset}"
+    """Resumes a cut answer at another entry; appends to `received`."""
+    offset = received.text.count(" ")
+    path = f"/v1/streams/{received.stream}?offset={offset}"
     url = f"http://{entry.address}{path}"
-    seen.done, seen.error = False, None
-    sent = session.get(url, headers=_headers(want))
-    return await _record(entry, want, sent, seen)
+    received.done, received.error = False, None
+    sent = session.get(url, headers=_headers(req))
+    return await _record(entry, req, sent, received)
 
 
-def send_and_read_nothing(entry, want: Ask) -> socket.socket:
-    """Sends a request over a connection with a small buffer; never reads."""
+def send_and_read_nothing(entry, req: Ask) -> socket.socket:
+    """Sends a request over a connection with a small buffer, never reading.
+
+    Returns:
+        The open socket, which the caller closes.
+    """
     host, _, port = entry.address.rpartition(":")
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _SMALL_BUFFER_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
     sock.connect((host, int(port)))
-    body = _body(want)
-    headers = _headers(want) | {"Host": host, "Content-Length": len(body)}
+    body = _body(req)
+    headers = _headers(req) | {"Host": host, "Content-Length": len(body)}
     lines = [f"{name}: {value}" for name, value in headers.items()]
     head = "\r\n".join(["POST /v1/chat/completions HTTP/1.1", *lines])
     sock.sendall(head.encode() + b"\r\n\r\n" + body)
     return sock
 
 
-async def _record(entry, want: Ask, sent, seen: Seen) -> Call:
+async def _record(entry, req: Ask, sent, received: ReceivedAnswer) -> Call:
     invoked = time.monotonic()
     cancelled = False
     try:
-        async with asyncio.timeout(want.limit_s + _PATIENCE_S):
-            outcome = await _read(sent, want, seen)
+        async with asyncio.timeout(req.limit_s + _LATE_OUTCOME_S):
+            outcome = await _receive(sent, req, received)
     except TimeoutError:
         outcome = Outcome.NONE
     except aiohttp.ClientConnectorError:
@@ -150,87 +154,93 @@
         outcome = Outcome.CUT
     except asyncio.CancelledError:
         outcome, cancelled = Outcome.CUT, True
-    error = seen.error or {}
+    error = received.error or {}
     return Call(
-        request=seen.request,
+        request=received.request,
         entry=entry.name,
-        organisation=want.organisation,
-        key=want.key,
-        repeatable=want.repeatable,
+        organisation=req.organisation,
+        key=req.key,
+        repeatable=req.repeatable,
         invoked=invoked,
         returned=time.monotonic(),
-        limit_s=want.limit_s,
+        limit_s=req.limit_s,
         outcome=outcome,
         code=error.get("code", 0),
-        text=seen.text,
-        expected=expected(want),
+        text=received.text,
+        expected=expected(req),
         retry_after_s=error.get("retry_after_s"),
         cancelled=cancelled,
     )
 
 
-async def _read(sent, want: Ask, seen: Seen) -> Outcome:
+async def _receive(sent, req: Ask, received: ReceivedAnswer) -> Outcome:
     async with sent as reply:
-        seen.status = reply.status
-        seen.headers = dict(reply.headers)
-        seen.request = reply.headers.get("X-Copperloom-Request", seen.request)
-        seen.stream = reply.headers.get("X-Copperloom-Stream", seen.stream)
-        seen.retry_after = reply.headers.get("Retry-After")
+        received.status = reply.status
+        received.headers = dict(reply.headers)
+        received.request = reply.headers.get(
+            "X-Copperloom-Request", received.request
+        )
+        received.stream = reply.headers.get(
+            "X-Copperloom-Stream", received.stream
+        )
+        received.retry_after = reply.headers.get("Retry-After")
         if reply.status >= 400:
-            seen.error = _error(json.loads(await reply.read())["error"])
-        elif want.service:
-            seen.text = (await reply.read()).decode()
-            seen.done = True
+            received.error = _as_error(json.loads(await reply.read())["error"])
+        elif req.service:
+            received.text = (await reply.read()).decode()
+            received.done = True
         else:
-            await _read_events(reply, seen)
-    if seen.error:
-        return Outcome(seen.error["run"])
-    return Outcome.ANSWERED if seen.done else Outcome.CUT
+            await _receive_events(reply, received)
+    if received.error:
+        return Outcome(received.error["run"])
+    return Outcome.ANSWERED if received.done else Outcome.CUT
 
 
-def _error(told: dict | str) -> dict:
-    """Returns an entry's error; a plain service's own is one of a run."""
-    if isinstance(told, str):
-        return {"run": Outcome.RAN_AND_FAILED.value, "message": told}
-    return told
+def _as_error(error: dict | str) -> dict:
+    """Returns an error as a dict; a text comes from a service that ran."""
+    if isinstance(error, str):
+        return {"run": Outcome.RAN_AND_FAILED.value, "message": error}
+    return error
 
 
-async def _read_events(reply: aiohttp.ClientResponse, seen: Seen) -> None:
+async def _receive_events(
+    reply: aiohttp.ClientResponse, received: ReceivedAnswer
+) -> None:
     async for line in reply.content:
-        if not line.startswith(_DATA):
+        if not line.startswith(_DATA_PREFIX):
             continue
-        value = line[len(_DATA) :].strip()
-        if value == _DONE:
-            seen.done = True
+        value = line[len(_DATA_PREFIX) :].strip()
+        if value == _STREAM_END:
+            received.done = True
             continue
         event = json.loads(value)
-        seen.error = event.get("error") or seen.error
+        received.error = event.get("error") or received.error
         for choice in event.get("choices", ()):
-            seen.text += choice["delta"].get("content") or ""
+            received.text += choice["delta"].get("content") or ""
 
 
-def _messages(want: Ask) -> bytes:
-    return json.dumps([{"role": "user", "content": want.prompt}]).encode()
+def _messages(req: Ask) -> bytes:
+    return json.dumps([{"role": "user", "content": req.prompt}]).encode()
 
 
-def _body(want: Ask) -> bytes:
-    if want.service:
-        return want.prompt.encode()
-    head = {"model": systems.CHAT, "stream": True, "max_tokens": want.tokens}
+def _body(req: Ask) -> bytes:
+    if req.service:
+        return req.prompt.encode()
+    head = {"model": systems.CHAT, "stream": True, "max_tokens": req.tokens}
     text = json.dumps(head).encode()
-    # The messages' bytes go as they are: the engine's answer depends on them.
-    return text[:-1] + b', "messages": ' + _messages(want) + b"}"
+    # The engine's answer depends on the exact bytes of the messages.
+    return text[:-1] + b', "messages": ' + _messages(req) + b"}"
 
 
-def _headers(want: Ask) -> dict[str, str]:
-    token = systems.token_of(want.organisation)
+def _headers(req: Ask) -> dict[str, str]:
+    token = systems.token_of(req.organisation)
     headers = {
         "Authorization": f"Bearer {token}",
         "Content-Type": "application/json",
-        "X-Copperloom-Time-Limit": f"{want.limit_s:g}",
-        "X-Copperloom-Not-Repeatable": str(not want.repeatable).lower(),
-        "X-Copperloom-Resumable": str(want.resumable).lower(),
+        "X-Copperloom-Time-Limit": f"{req.limit_s:g}",
+        "X-Copperloom-Not-Repeatable": str(not req.repeatable).lower(),
+        "X-Copperloom-Resumable": str(req.resumable).lower(),
     }
-    if want.key:
-        headers["Idempotency-Key"] = want.key
+    if req.key:
+        headers["Idempotency-Key"] = req.key
     return headers
--- a/copperloom/tests/fakes.py
+++ b/copperloom/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces, for tests without processes."""
+"""Fakes of external interfaces, for tests without processes."""
 
 import asyncio
 import types
@@ -12,16 +12,16 @@
 
 
 class FakeTable:
-    """The table service in memory.
+    """An in-memory fake of the table service.
 
     Attributes:
-        rows: Row by key.
-        transactions: How many were asked for.
+        rows: Rows by key.
+        transactions: Number of transactions requested.
         faults: Faults of the next transactions, in order: "down" (nothing
             takes effect), "lost" (takes effect, confirmation lost), "late"
             (confirmation lost, takes effect when `land` is called), "" (none).
-        late: Transactions that have not landed yet.
-        weights: Permits of the weight store taken.
+        late: Transactions that have not taken effect yet.
+        weights: Number of permits acquired from the weight store.
     """
 
     def __init__(self):
@@ -32,7 +32,7 @@
         self.weights = 0
 
     async def transact(self, conditions, writes, *, timeout_s):
-        """Does what the platform's `transact` does, or the next fault."""
+        """Applies a transaction, or injects the next fault."""
         self.transactions += 1
         await asyncio.sleep(0)
         fault = self.faults.pop(0) if self.faults else ""
@@ -47,20 +47,20 @@
         return result
 
     async def read(self, key, *, timeout_s):
-        """Returns a row, version 0 if there is none."""
+        """Returns a row, with version 0 if it does not exist."""
         return self.row(key)
 
     async def acquire_weights(self, count, *, timeout_s):
-        """Does what the platform's `acquire_weights` does, without a rate."""
+        """Grants permits at once; the platform limits their rate."""
         self.weights += count
 
     async def scan(self, prefix, *, after="", limit=1000, timeout_s):
-        """Returns the rows after a key, in order."""
+        """Returns the rows with a prefix after a key, in key order."""
         keys = [k for k in sorted(self.rows) if k.startswith(prefix)]
         return [self.rows[k] for k in keys if k > after][:limit]
 
     def land(self) -> None:
-        """Lets the late transactions take effect, if they still can."""
+        """Applies the late transactions whose conditions still hold."""
         late, self.late = self.late, []
         for conditions, writes in late:
             self._apply(conditions, writes)
@@ -81,12 +81,12 @@
         return TransactResult(True)
 
     def row(self, key: str) -> Row:
-        """Returns a row, version 0 if there is none."""
+        """Returns a row, with version 0 if it does not exist."""
         return self.rows.get(key, Row(key, None, 0))
 
 
 def record_state(table: FakeTable) -> types.SimpleNamespace:
-    """Returns what the idempotency records need of an entry's state."""
+    """Builds the part of an entry's state that idempotency records use."""
     platform = types.SimpleNamespace(
         transact=table.transact, scan=table.scan, read=table.read
     )
--- a/copperloom/tests/processes.py
+++ b/copperloom/tests/processes.py
@@ -1,8 +1,8 @@
 """Starts and stops real daemons and stand-ins for tests.
 
-Every function that starts something registers its clean-up on the test case
-that it is given. A test case class may be given in place of a case, for a
-system that the tests of a class share.
+Every function that starts a process registers its clean-up with the given test
+case. A test case class may be given instead, for a system that all tests of
+the class share.
 """
 
 import contextlib
@@ -19,8 +19,7 @@
 
 __all__ = ["Process", "launch", "start_entry", "start_standin", "wait_until"]
 
-# Generous, since tests also run on a busy machine: importing alone takes half
-# a second of processor time.
+# Allows for slow start-up on a busy machine.
 READY_LIMIT_S = 20.0
 _EXIT_LIMIT_S = 5.0
 _CALL_LIMIT_S = 5.0
@@ -40,9 +39,9 @@
     """A process under test.
 
     Attributes:
-        name: What logs and failures call it.
-        popen: The operating system's process.
-        folder: Holds its settings and what it wrote.
+        name: Name in logs and test failures.
+        popen: Handle of the operating system process.
+        folder: Folder with its settings, standard output and log.
     """
 
     def __init__(self, name: str, popen: subprocess.Popen, folder: str):
@@ -53,19 +52,19 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Returns the process id."""
         return self.popen.pid
 
     @property
     def addresses(self) -> dict[str, str]:
-        """What it listens on, by name; waits until it is ready."""
+        """Returns its listening addresses by name, once it is ready."""
         if not self._addresses:
             wait_until(self._read_ready, READY_LIMIT_S, f"{self.name} ready")
         return self._addresses
 
     @property
     def address(self) -> str:
-        """Its main address, IP:port."""
+        """Returns its main address, as IP:port."""
         found = self.addresses
         return found.get("listen") or next(iter(found.values()))
 
@@ -83,36 +82,36 @@
         return False
 
     def output(self) -> str:
-        """What it printed."""
+        """Returns its standard output."""
         return (self.folder / "stdout").read_text()
 
     def log(self) -> str:
-        """Its log lines."""
+        """Returns its log."""
         return (self.folder / "stderr").read_text(errors="replace")
 
     def log_tail(self) -> str:
-        """The last of its log lines."""
+        """Returns the last lines of its log."""
         return "\n".join(self.log().splitlines()[-_LOG_TAIL_LINES:])
 
     def kill(self) -> None:
-        """Ends it at once, without a word."""
+        """Kills it without a chance to shut down."""
         self.popen.kill()
         self.popen.wait(_EXIT_LIMIT_S)
 
     def freeze(self) -> None:
-        """Stops it from running; its connections stay open."""
+        """Suspends it with its connections open."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it run on after `freeze`."""
+        """Resumes it after `freeze`."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks it for a planned stop; returns at once."""
+        """Requests a planned stop and returns at once."""
         self.popen.terminate()
 
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Returns whether the process has not exited."""
         return self.popen.poll() is None
 
     def control(self, **values) -> dict:
@@ -120,11 +119,11 @@
         return self.call("POST", "/_standin/control", values)
 
     def truth(self) -> dict:
-        """What really happened at a stand-in."""
+        """Returns a stand-in's own record of its state and work."""
         return self.call("GET", "/_standin/truth")
 
     def call(self, method: str, path: str, body: object = None) -> dict:
-        """Makes one call with JSON on both ways, past any proxy."""
+        """Makes a JSON call directly, bypassing any fault proxy."""
         return call(self.address, method, path, body)
 
 
@@ -137,13 +136,13 @@
     token: str = "",
     limit_s: float = _CALL_LIMIT_S,
 ) -> dict:
-    """Makes one blocking call; returns its reply if that is JSON.
+    """Makes one blocking call and returns the JSON reply, or {}.
 
     Raises:
         urllib.error.HTTPError: A status of 400 or more.
     """
     data = None if body is None else json.dumps(body).encode()
-    ask = urllib.request.Request(
+    request = urllib.request.Request(
         f"http://{address}{path}",
         data=data,
         method=method,
@@ -152,34 +151,34 @@
             "Authorization": f"Bearer {token}",
         },
     )
-    with urllib.request.urlopen(ask, timeout=limit_s) as reply:
+    with urllib.request.urlopen(request, timeout=limit_s) as reply:
         text = reply.read()
     return json.loads(text) if text.startswith((b"{", b"[")) else {}
 
 
-def wait_until(condition, within_s: float, what: str):
+def wait_until(condition, limit_s: float, description: str):
     """Waits for a condition and returns its first true value.
 
     Args:
         condition: A function; a refused or lost connection counts as false.
-        within_s: Bound, in seconds.
-        what: Named in the failure.
+        limit_s: Time limit, in seconds.
+        description: Describes the condition in the error.
 
     Raises:
-        AssertionError: It did not come true in time.
+        AssertionError: The condition was not true within the time limit.
     """
-    give_up = time.monotonic() + within_s
+    deadline = time.monotonic() + limit_s
     while True:
-        got = attempt(condition)
-        if got:
-            return got
-        if time.monotonic() > give_up:
-            raise AssertionError(f"not within {within_s} s: {what}")
+        value = attempt(condition)
+        if value:
+            return value
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out after {limit_s} s: {description}")
         time.sleep(_POLL_S)
 
 
 def attempt(condition):
-    """Returns a condition's value; a refused or lost call gives None."""
+    """Returns a condition's value, or None if the connection failed."""
     try:
         return condition()
     except (urllib.error.URLError, ConnectionError, TimeoutError):
@@ -195,16 +194,16 @@
         case: A test case or its class.
         program: "entry", or the kind of a stand-in.
         sections: Settings by section and key.
-        name: Name in logs; the program's if not given.
+        name: Name in logs; the program's name by default.
     """
     folder = tempfile.TemporaryDirectory(prefix="copperloom-")
     on_cleanup(case, folder.cleanup)
-    here = pathlib.Path(folder.name)
-    (here / "settings.ini").write_text(_ini(sections))
-    with (here / "stdout").open("w") as out, (here / "stderr").open("w") as err:
+    path = pathlib.Path(folder.name)
+    (path / "settings.ini").write_text(_ini(sections))
+    with (path / "stdout").open("w") as out, (path / "stderr").open("w") as err:
         popen = subprocess.Popen(
             [sys.executable, "-m", *_MODULES[program]]
-            + ["--settings", str(here / "settings.ini")],
+            + ["--settings", str(path / "settings.ini")],
             cwd=_ROOT,
             stdin=subprocess.DEVNULL,
             stdout=out,
@@ -217,18 +216,18 @@
 
 
 def start_standin(case, kind: str, **sections: dict) -> Process:
-    """Starts a stand-in; its settings are one dict a section."""
+    """Starts a stand-in, with one dict of settings per section."""
     process = launch(case, kind, sections)
     return process if process.addresses else process
 
 
 def start_entry(case, platform: str, **sections: dict) -> Process:
-    """Starts an entry with short intervals, so that tests need not wait.
+    """Starts an entry with short intervals, to keep tests fast.
 
     Args:
         case: A test case or its class.
-        platform: The platform's address, or that of a proxy before it.
-        **sections: Settings by section, over the defaults for tests.
+        platform: Address of the platform, or of a proxy in front of it.
+        **sections: Settings by section, which override the test defaults.
     """
     process = launch_entry(case, platform, **sections)
     return process if process.addresses else process
@@ -263,13 +262,13 @@
 
 
 def on_cleanup(case, function, *args) -> None:
-    """Registers a clean-up on a test case or on a test case class."""
+    """Registers a clean-up with a test case or a test case class."""
     add = case.addClassCleanup if isinstance(case, type) else case.addCleanup
     add(function, *args)
 
 
 def _finish(case, process: Process) -> None:
-    """Ends a process for good and shows its log if the test failed."""
+    """Kills a process, and prints its log if the test failed."""
     with contextlib.suppress(ProcessLookupError):
         process.resume()
     process.popen.kill()
@@ -279,8 +278,8 @@
 
 
 def _failed(case) -> bool:
-    # unittest has no public word for this during clean-up; without it the
-    # logs are left out and nothing else changes.
+    # unittest has no public interface for this during clean-up; without the
+    # private one, only the logs are missing.
     outcome = getattr(case, "_outcome", None)
     return outcome is not None and not outcome.success
 
--- a/copperloom/tests/run.py
+++ b/copperloom/tests/run.py
@@ -1,8 +1,8 @@
 """Runs all tests: `python -m copperloom.tests.run [PATTERN...]`.
 
-Tests named in KNOWN-RED.txt may fail; they are run, printed, and do not count
-as failures. Everything else must pass, and a known-red test that passes is
-said too, so that its line can go.
+Tests listed in KNOWN-RED.txt run, but their failures are only printed and do
+not count. All other tests must pass. A listed test that passes is printed too,
+so that it can be removed from the list.
 """
 
 import os
@@ -13,7 +13,7 @@
 import hypothesis
 
 _ROOT = pathlib.Path(__file__).resolve().parents[2]
-_KNOWN_RED_MOST = 3
+_MAX_KNOWN_RED = 3
 
 hypothesis.settings.register_profile(
     "ci", derandomize=True, database=None, deadline=None, print_blob=True
@@ -31,18 +31,18 @@
 
 
 def main(patterns: list[str]) -> int:
-    """Runs the tests whose id contains any of the patterns; all if none."""
+    """Runs the tests whose id contains a pattern, or all without patterns."""
     hypothesis.settings.load_profile(os.environ.get("HYPOTHESIS", "ci"))
     loader = unittest.TestLoader()
     found = loader.discover(str(_ROOT / "copperloom"), "test_*.py", str(_ROOT))
     suite = unittest.TestSuite(
-        t for t in _flatten(found) if _wanted(t.id(), patterns)
+        t for t in _flatten(found) if _is_selected(t.id(), patterns)
     )
-    # The suite drops its tests as it runs them, so the names are taken first.
+    # The suite drops its tests while it runs, so the ids are collected first.
     ran = {test.id() for test in _flatten(suite)}
     red = known_red()
-    if len(red) > _KNOWN_RED_MOST:
-        print(f"KNOWN-RED.txt lists {len(red)}, at most {_KNOWN_RED_MOST}")
+    if len(red) > _MAX_KNOWN_RED:
+        print(f"KNOWN-RED.txt lists {len(red)}, at most {_MAX_KNOWN_RED}")
         return 1
     result = unittest.TextTestRunner(verbosity=2).run(suite)
     failed = {t.id() for t, _ in result.failures + result.errors}
@@ -52,7 +52,7 @@
         print(f"listed in KNOWN-RED.txt but passes: {name}")
     bad = failed - red
     skipped = len(result.skipped)
-    # A class whose set-up fails is a failure without a test that ran.
+    # A failed class set-up counts as a failure although no test ran.
     passed = result.testsRun - len(failed & ran) - skipped
     tail = f", {skipped} skipped" if skipped else ""
     print(f"{passed} passed, {len(bad)} failed{tail}", flush=True)
@@ -67,7 +67,7 @@
             yield test
 
 
-def _wanted(name: str, patterns: list[str]) -> bool:
+def _is_selected(name: str, patterns: list[str]) -> bool:
     return not patterns or any(p in name for p in patterns)
 
 
--- a/copperloom/tests/systems.py
+++ b/copperloom/tests/systems.py
@@ -1,4 +1,4 @@
-"""Starts a small running system: platform, targets and entries."""
+"""Starts a small system for tests: platform, targets and entries."""
 
 import dataclasses
 import hashlib
@@ -27,10 +27,9 @@
         engines: Engine stand-ins by target name.
         services: Service stand-ins by target name.
         entries: Entries by instance name.
-        proxy: The fault proxy, if any. Its links are named by the target
-            behind them, or platform-INSTANCE for an entry's own way to the
-            platform.
-        kv_tokens: KV memory of each engine.
+        proxy: Fault proxy, if any. A link has the name of the target behind
+            it, or platform-INSTANCE for an entry's link to the platform.
+        kv_tokens: KV memory of each engine, in tokens.
     """
 
     platform: processes.Process
@@ -41,7 +40,7 @@
     kv_tokens: int = 400_000
 
     def targets(self) -> dict[str, processes.Process]:
-        """Engines and services by name."""
+        """Returns the engines and services by name."""
         return self.engines | self.services
 
 
@@ -65,14 +64,15 @@
 
     Args:
         case: A test case or its class.
-        entries: How many entries, named e0, e1 and so on.
-        engines: How many engines, named g0 and so on.
-        services: How many plain services, named s0 and so on.
-        proxies: Which links lead through a fault proxy: "platform" (one for
-            each entry), "engines", "services".
+        entries: Number of entries, named e0, e1 and so on.
+        engines: Number of engines, named g0, g1 and so on.
+        services: Number of plain services, named s0, s1 and so on.
+        proxies: Links that lead through a fault proxy: "platform" (one link
+            per entry), "engines", "services".
         engine: Settings of the engines.
         entry: Settings of the entries by section.
-        short_floor: The presets' share of engines kept free of long work.
+        short_floor: Share of the engines that the presets keep free of long
+            work.
     """
     system = System(
         processes.launch(
@@ -99,31 +99,31 @@
         add_entry(case, system, f"e{i}", entry or {})
     for process in system.entries.values():
         wait_ready(process)
-        wait_met(process, entries)
+        wait_for_contacts(process, entries)
     return system
 
 
 def _launch_proxy(case, system: System, entries: int, links) -> None:
-    behind = {}
+    upstreams = {}
     if "platform" in links:
-        behind |= {f"platform-e{i}": system.platform for i in range(entries)}
+        upstreams |= {f"platform-e{i}": system.platform for i in range(entries)}
     if "engines" in links:
-        behind |= system.engines
+        upstreams |= system.engines
     if "services" in links:
-        behind |= system.services
-    if not behind:
+        upstreams |= system.services
+    if not upstreams:
         return
     pairs = ", ".join(
         f"{name}=127.0.0.1:0>{process.address}"
-        for name, process in behind.items()
+        for name, process in upstreams.items()
     )
     system.proxy = processes.start_standin(
         case, "proxy", proxy={"pairs": pairs}
     )
 
 
-def way_to(system: System, name: str) -> str:
-    """Returns the address of a target, or of the proxy before it."""
+def address_of(system: System, name: str) -> str:
+    """Returns the address of a target, or of the proxy in front of it."""
     return _links(system).get(name) or system.targets()[name].address
 
 
@@ -134,9 +134,9 @@
 def add_entry(
     case, system: System, instance: str, sections: dict[str, dict]
 ) -> processes.Process:
-    """Launches one more entry, or a new boot of one that ended."""
-    way = _links(system).get(f"platform-{instance}")
-    platform = way or system.platform.address
+    """Launches an additional entry, or restarts one that exited."""
+    proxy_address = _links(system).get(f"platform-{instance}")
+    platform = proxy_address or system.platform.address
     merged = dict(sections)
     merged["entry"] = {
         "instance": instance,
@@ -148,38 +148,40 @@
 
 
 def wait_ready(process: processes.Process) -> None:
-    """Waits until an entry says that it serves."""
+    """Waits until an entry reports that it is ready."""
     processes.wait_until(
         lambda: process.call("GET", "/ready") is not None,
         processes.READY_LIMIT_S,
-        f"{process.name} serves",
+        f"{process.name} ready",
     )
 
 
-def wait_met(process: processes.Process, entries: int) -> None:
+def wait_for_contacts(process: processes.Process, entries: int) -> None:
     """Waits until an entry is in contact with all others.
 
-    Before that it takes no change, since it does not know the fleet.
+    An entry that does not know the whole fleet accepts no changes.
     """
 
-    def met() -> bool:
+    def in_contact() -> bool:
         status = processes.call(
             process.address, "GET", "/admin/v1/status", token=OPERATOR_TOKEN
         )
         return status["knows_the_fleet"] and status["contacts"] == entries
 
     processes.wait_until(
-        met, processes.READY_LIMIT_S, f"{process.name} has met the others"
+        in_contact,
+        processes.READY_LIMIT_S,
+        f"{process.name} in contact with the others",
     )
 
 
 def digest(text: str) -> str:
-    """Returns the hex digest that the configuration keeps of a token."""
+    """Returns the hex digest of a token, as stored in the configuration."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def seed_configuration(system: System, short_floor: float) -> None:
-    """Writes version 1 straight into the platform's table."""
+    """Writes configuration version 1 directly to the platform's table."""
     puts = [
         configuration.encode_entity(e) for e in _entities(system, short_floor)
     ]
@@ -190,7 +192,7 @@
 
 
 def write_change(system: System, change: configuration.Change) -> bool:
-    """Writes a change as an operator would, on condition of the head."""
+    """Writes a change if the head version matches; returns whether it did."""
     head_version = change.version - 1
     writes = {
         "config/head": {"version": change.version, "nonce": change.nonce},
@@ -208,22 +210,22 @@
 
 
 def _entities(system: System, short_floor: float) -> list:
-    out = [
+    entities = [
         configuration.Organisation(name, digest(token_of(name)))
         for name in ORGANISATIONS
     ]
-    out.append(configuration.Deployment(CHAT, model=MODEL))
-    out.append(
+    entities.append(configuration.Deployment(CHAT, model=MODEL))
+    entities.append(
         configuration.Deployment(SERVICE, configuration.TargetKind.SERVICE)
     )
     for name in ("ordinary", "peak"):
-        out.append(configuration.Preset(name, short_floor=short_floor))
-    out.append(configuration.PresetInForce("ordinary"))
+        entities.append(configuration.Preset(name, short_floor=short_floor))
+    entities.append(configuration.PresetInForce("ordinary"))
     for name in system.engines:
-        out.append(target(system, name))
+        entities.append(target(system, name))
     for name in system.services:
-        out.append(target(system, name))
-    return out
+        entities.append(target(system, name))
+    return entities
 
 
 def target(
@@ -231,12 +233,12 @@
     name: str,
     state: configuration.TargetState = configuration.TargetState.ADMITTED,
 ) -> configuration.Target:
-    """Returns the configuration's line about a target."""
+    """Builds the configuration entity of a target."""
     is_engine = name in system.engines
     kinds = configuration.TargetKind
     return configuration.Target(
         name,
-        way_to(system, name),
+        address_of(system, name),
         "a",
         kinds.ENGINE if is_engine else kinds.SERVICE,
         (MODEL if is_engine else SERVICE,),
--- a/copperloom/tests/test_groups.py
+++ b/copperloom/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Prompts larger than one engine's memory: all parts or none stay."""
+"""Guards against leaked parts of prompts that span several engines."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 from copperloom.tests import systems, trials
 from copperloom.tests.callers import Ask
 
-# With four bytes to a token half as much again as one engine holds.
+# Exceeds the memory of one engine, at four bytes per token.
 _PROMPT = "manifest " * 270_000
-# Includes the time for which a new owner of an engine grants nothing.
-_BEGUN_S = 15.0
+# Includes the time for which a new owner of an engine grants no memory.
+_START_LIMIT_S = 15.0
 
 
 class GroupsTest(unittest.IsolatedAsyncioTestCase):
@@ -32,32 +32,34 @@
         return [name for name, engine in engines if trials.in_use(engine)]
 
     async def begin_group(self, name: str, entry: str = "e0"):
-        """Begins work that needs several engines; waits until it has them."""
-        want = Ask(name + _PROMPT, tokens=5, limit_s=40)
-        task, _ = trials.begin(self.trial, entry, want)
+        """Begins a call and waits until several engines hold its parts."""
+        req = Ask(name + _PROMPT, tokens=5, limit_s=40)
+        task, _ = trials.begin(self.trial, entry, req)
         await trials.until(
-            lambda: len(self.holders()) > 1 or task.done(), _BEGUN_S, "parts"
+            lambda: len(self.holders()) > 1 or task.done(),
+            _START_LIMIT_S,
+            "parts at several engines",
         )
         self.assertFalse(task.done(), self.trial.history.calls)
         return task
 
-    async def test_answered(self):
-        """Parts are filled at several engines and joined at one of them."""
+    async def test_group_answers(self):
+        """Guards against failure to join the parts at the lead engine."""
         call = await (await self.begin_group("whole"))
         self.assertEqual((call.outcome, call.code), (Outcome.ANSWERED, 0))
         await trials.settle(self, self.trial)
 
     async def test_caller_goes_away(self):
-        """The caller hangs up while parts are held at several engines."""
+        """Guards against leaked parts after the caller disconnects."""
         task = await self.begin_group("gone")
         task.cancel()
         await task
         await trials.settle(self, self.trial)
 
     async def test_engine_dies(self):
-        """One engine dies and loses its part; the others' parts go too.
+        """Guards against leaked parts after one engine of the group dies.
 
-        The caller gets its answer from other engines or an error in time.
+        The caller gets an answer or an error within its time limit.
         """
         task = await self.begin_group("broken")
         self.system.engines[self.holders()[0]].control(die=0.3)
@@ -65,7 +67,7 @@
         await trials.settle(self, self.trial)
 
     async def test_entry_killed(self):
-        """The entry that holds the parts is killed; nobody asks for them."""
+        """Guards against parts that stay held after their entry is killed."""
         await trials.extra_entry(self, self.trial, "e7")
         task = await self.begin_group("orphan", "e7")
         trials.kill(self.trial, "e7")
--- a/copperloom/tests/test_large_prompts.py
+++ b/copperloom/tests/test_large_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts larger than one engine, through real entries and engines."""
+"""Guards against leaked memory by prompts larger than one engine."""
 
 import asyncio
 import unittest
@@ -8,14 +8,14 @@
 from copperloom.tests import systems, trials
 from copperloom.tests.callers import Ask
 
-# Four bytes count as a token; an engine has room for 400,000 tokens.
+# Exceeds the memory of one engine, at four bytes per token.
 _PROMPT = "word" * 600_000
 _LONG = 5000
-# Entries in tests count as gone after two seconds of silence.
+# Longer than the time after which the peers consider an entry dead.
 _PAUSE_S = 4.0
-CAPACITY = exception.CapacityExceededError.code
-# Owners of engines grant memory from one life of a reservation after they
-# became owners; the default of ten seconds would only lengthen the tests.
+_CAPACITY_EXCEEDED = exception.CapacityExceededError.code
+# A new owner of an engine grants memory only after one reservation lifetime; a
+# short one keeps the tests fast.
 _ENTRY = {"targets": {"reservation_s": 1.0}}
 
 
@@ -33,88 +33,95 @@
 
     async def asyncSetUp(self):
         self.trial = await trials.start_trial(self, self.system)
-        await self.until_granted("e0")
+        await self.wait_until_granted("e0")
 
-    async def until_granted(self, entry: str) -> None:
+    async def wait_until_granted(self, entry: str) -> None:
         """Waits until the owners of all engines grant memory."""
-        end = asyncio.get_running_loop().time() + 20
+        deadline = asyncio.get_running_loop().time() + 20
         while True:
-            want = self.ask("first", tokens=1)
-            call = await trials.ask(self.trial, entry, want)
+            req = self.make_request("first", tokens=1)
+            call = await trials.ask(self.trial, entry, req)
             if call.outcome is Outcome.ANSWERED:
                 return
-            self.assertEqual(call.code, CAPACITY, call)
-            self.assertLess(asyncio.get_running_loop().time(), end)
+            self.assertEqual(call.code, _CAPACITY_EXCEEDED, call)
+            self.assertLess(asyncio.get_running_loop().time(), deadline)
             await asyncio.sleep(0.3)
 
-    def ask(self, name: str, **changes) -> Ask:
+    def make_request(self, name: str, **changes) -> Ask:
         return Ask(name + _PROMPT, **{"limit_s": 240.0, **changes})
 
-    def holding(self) -> int:
-        """Returns how many engines hold memory now."""
-        truths = [e.truth() for e in self.system.engines.values()]
-        return sum(truth["kv_used"] > 0 for truth in truths)
+    def engines_in_use(self) -> int:
+        """Returns the number of engines that hold memory."""
+        states = [e.truth() for e in self.system.engines.values()]
+        return sum(state["kv_used"] > 0 for state in states)
 
-    async def begin(self, entry: str, want: Ask):
-        """Begins a call and waits until a group of engines holds it."""
-        task, seen = trials.begin(self.trial, entry, want)
+    async def begin(self, entry: str, req: Ask):
+        """Begins a call and waits until several engines hold its parts."""
+        task, received = trials.begin(self.trial, entry, req)
         await trials.until(
-            lambda: self.holding() >= 2 or task.done(), 20, "group holds"
+            lambda: self.engines_in_use() >= 2 or task.done(),
+            20,
+            "parts at several engines",
         )
-        self.assertFalse(task.done(), seen)
-        return task, seen
+        self.assertFalse(task.done(), received)
+        return task, received
 
     async def test_whole_answer(self):
-        call = await trials.ask(self.trial, "e0", self.ask("whole"))
+        call = await trials.ask(self.trial, "e0", self.make_request("whole"))
         self.assertEqual(call.outcome, Outcome.ANSWERED, call)
         await trials.settle(self, self.trial)
 
     async def test_entry_killed_while_the_group_runs(self):
-        """The entry dies with parts held on several engines.
+        """Guards against parts that stay held after their entry is killed.
 
-        Nobody cancels the parts, which would be held for ever: the engines'
-        owners find that nobody reads or touches them any more.
+        The engines' owners must cancel the abandoned parts.
         """
         await trials.extra_entry(self, self.trial, "e8", **_ENTRY)
-        await self.until_granted("e8")
-        task, _ = await self.begin("e8", self.ask("killed", tokens=_LONG))
+        await self.wait_until_granted("e8")
+        task, _ = await self.begin(
+            "e8", self.make_request("killed", tokens=_LONG)
+        )
         trials.kill(self.trial, "e8")
         await task
         await trials.settle(self, self.trial)
-        self.assertEqual(self.holding(), 0)
+        self.assertEqual(self.engines_in_use(), 0)
 
     async def test_caller_goes_away(self):
-        """The caller hangs up while the parts are filled."""
-        task, _ = await self.begin("e0", self.ask("gone", tokens=_LONG))
+        """Guards against leaked memory after the caller disconnects."""
+        task, _ = await self.begin(
+            "e0", self.make_request("gone", tokens=_LONG)
+        )
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        await trials.until(lambda: not self.holding(), 20, "memory is back")
+        await trials.until(
+            lambda: not self.engines_in_use(), 20, "engine memory released"
+        )
 
     async def test_entry_paused_while_the_group_runs(self):
-        """The entry stands still for longer than it takes to count as gone.
+        """Guards against a false "not run" and leaks after an entry's pause.
 
-        Its parts are not touched meanwhile and are cancelled. When it wakes
-        up its caller gets an outcome that does not claim "not run", and no
-        memory is left behind by its late resumes and touches.
+        Its parts are cancelled meanwhile, so its calls for them come too late.
         """
         await trials.extra_entry(self, self.trial, "e7", **_ENTRY)
-        await self.until_granted("e7")
-        task, _ = await self.begin("e7", self.ask("paused", tokens=_LONG))
+        await self.wait_until_granted("e7")
+        task, _ = await self.begin(
+            "e7", self.make_request("paused", tokens=_LONG)
+        )
         with trials.frozen(self.trial, "e7"):
             await asyncio.sleep(_PAUSE_S)
         call = await asyncio.wait_for(task, 60)
         self.assertNotEqual(call.outcome, Outcome.NOT_RUN)
         await trials.settle(self, self.trial)
-        self.assertEqual(self.holding(), 0)
+        self.assertEqual(self.engines_in_use(), 0)
 
     async def test_engine_of_a_part_dies(self):
-        """One engine of the group restarts and has lost its part.
+        """Guards against a false "not run" and leaks after an engine's restart.
 
-        The caller gets an outcome in time; the other engines' memory is free.
+        The restarted engine has lost its part of the prompt.
         """
-        want = self.ask("part lost", tokens=_LONG)
-        task, _ = await self.begin("e0", want)
+        req = self.make_request("part lost", tokens=_LONG)
+        task, _ = await self.begin("e0", req)
         self.system.engines["g1"].control(die=0.2)
         self.assertNotEqual((await task).outcome, Outcome.NOT_RUN)
         await trials.settle(self, self.trial)
-        self.assertEqual(self.holding(), 0)
+        self.assertEqual(self.engines_in_use(), 0)
--- a/copperloom/tests/test_outages.py
+++ b/copperloom/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""The platform's service is down for long: what is safe goes on."""
+"""Guards against refused, hanging or repeated work in platform outages."""
 
 import time
 import unittest
@@ -8,8 +8,8 @@
 from copperloom.tests.callers import Ask
 
 _PLATFORM_DOWN = 5001
-# Far above one failed call, far below the request's limit.
-_AT_ONCE_S = 2.0
+# Separates an immediate refusal from one at the request's time limit.
+_REFUSAL_LIMIT_S = 2.0
 _CONFIRM_S = 1.0
 
 
@@ -28,45 +28,43 @@
         self.addCleanup(self.system.platform.control, outage=[], black_hole=[])
 
     async def test_long_outage(self):
-        """The table is down for longer than any proof of freshness lasts.
+        """Guards against refused unkeyed work and slow refusals of keyed work.
 
-        Work without a key needs no record and goes on. Keyed work is refused
-        at once with code and Retry-After, and runs once after the outage.
+        The outage outlasts the confirmation interval; keyed work runs after it.
         """
         self.system.platform.control(outage=["table", "objects"])
-        begun = time.monotonic()
-        dear = Ask("dear", key="dear", repeatable=False, service=True)
-        while time.monotonic() < begun + 2.5 * _CONFIRM_S:
-            refused = await trials.ask(self.trial, "e0", dear)
+        started_at = time.monotonic()
+        keyed = Ask("dear", key="dear", repeatable=False, service=True)
+        while time.monotonic() < started_at + 2.5 * _CONFIRM_S:
+            refused = await trials.ask(self.trial, "e0", keyed)
             self.assertEqual(refused.code, _PLATFORM_DOWN)
             self.assertEqual(refused.outcome, Outcome.NOT_RUN)
             self.assertGreater(refused.retry_after_s, 0)
             took_s = refused.returned - refused.invoked
-            self.assertLess(took_s, _AT_ONCE_S)
+            self.assertLess(took_s, _REFUSAL_LIMIT_S)
             for entry in ("e0", "e1", "e2"):
                 plain = await trials.ask(self.trial, entry, Ask("plain"))
                 self.assertEqual(plain.outcome, Outcome.ANSWERED)
         self.system.platform.control(outage=[])
-        call = await self.until_answered("e1", dear)
+        call = await self.until_answered("e1", keyed)
         self.assertEqual(call.outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
         self.assertEqual(trials.runs_of(self.trial, "dear"), 1)
 
-    async def until_answered(self, entry: str, want: Ask):
+    async def until_answered(self, entry: str, req: Ask):
         while True:
-            call = await trials.ask(self.trial, entry, want)
+            call = await trials.ask(self.trial, entry, req)
             if call.outcome is not Outcome.NOT_RUN:
                 return call
 
-    async def test_no_answer_at_all(self):
-        """The table takes calls and never answers them.
+    async def test_table_that_never_replies(self):
+        """Guards against hanging requests when the table never replies.
 
-        Keyed work can't be known to be recorded: it has its outcome in time,
-        and what is said of it is true.
+        Keyed work must not run without a confirmed record.
         """
         self.system.platform.control(black_hole=["table"])
-        dear = Ask("hole", key="hole", repeatable=False, limit_s=2)
-        call = await trials.ask(self.trial, "e0", dear)
+        keyed = Ask("hole", key="hole", repeatable=False, limit_s=2)
+        call = await trials.ask(self.trial, "e0", keyed)
         self.assertEqual(call.outcome, Outcome.NOT_RUN)
         plain = await trials.ask(self.trial, "e0", Ask("plain"))
         self.assertEqual(plain.outcome, Outcome.ANSWERED)
@@ -74,9 +72,9 @@
         await trials.settle(self, self.trial)
 
     async def test_entry_that_starts_in_an_outage(self):
-        """An entry is replaced while the table is down.
+        """Guards against a new entry that can't serve during an outage.
 
-        It takes the newest configuration that its peers have, and serves.
+        It must adopt the newest configuration of its peers.
         """
         before = trials.read_configuration(self.trial, "e0")
         self.system.platform.control(outage=["table", "objects"])
--- a/copperloom/tests/test_outcomes.py
+++ b/copperloom/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Every request has one outcome in time, and an answer is whole and own."""
+"""Guards against late, false or missing outcomes and against wrong answers."""
 
 import asyncio
 import unittest
@@ -26,91 +26,92 @@
     async def asyncSetUp(self):
         self.trial = await trials.start_trial(self, self.system)
 
-    async def begin_stream(self, want: Ask, entry: str = "e0"):
-        """Begins a stream; returns it, what is seen, and its engine."""
-        task, seen = trials.begin(self.trial, entry, want)
-        await trials.until(lambda: seen.text or task.done(), 9, "first token")
-        self.assertTrue(seen.text, seen.error)
-        return task, seen, self.system.engines[seen.stream.partition("/")[0]]
+    async def begin_stream(self, req: Ask, entry: str = "e0"):
+        """Begins a stream; returns its task, its answer and its engine."""
+        task, received = trials.begin(self.trial, entry, req)
+        await trials.until(
+            lambda: received.text or task.done(), 9, "first token"
+        )
+        self.assertTrue(received.text, received.error)
+        return (
+            task,
+            received,
+            self.system.engines[received.stream.partition("/")[0]],
+        )
 
     def fault(self, **changes) -> None:
         trials.fault(self, self.system, *self.system.engines, **changes)
 
     async def test_entry_killed_mid_stream(self):
-        """The caller's connection breaks in the middle of an answer.
+        """Guards against a lost answer when its entry is killed.
 
-        Its entry is killed; the engine goes on. The caller reads on at
-        another entry from the token that it had, and has its whole answer.
+        The caller resumes at another entry, from the last token received.
         """
         await trials.extra_entry(self, self.trial, "e7")
-        want = Ask("killed entry", tokens=80, resumable=True)
-        task, seen, _ = await self.begin_stream(want, "e7")
+        req = Ask("killed entry", tokens=80, resumable=True)
+        task, received, _ = await self.begin_stream(req, "e7")
         trials.kill(self.trial, "e7")
         self.assertEqual((await task).outcome, Outcome.CUT)
-        rest = await trials.resume(self.trial, "e0", want, seen)
+        rest = await trials.resume(self.trial, "e0", req, received)
         self.assertEqual(rest.outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
 
     async def test_resumed_stream_is_not_cancelled_by_its_first_entry(self):
-        """The caller's connection breaks; it reads on at another entry.
+        """Guards against cancellation of a stream resumed at another entry.
 
-        The first entry keeps the stream for a while, then gives its memory
-        back, and would cut the answer off that goes out elsewhere by now.
+        The first entry cancels a stream that is not resumed in time.
         """
-        want = Ask("moved", tokens=120, resumable=True, limit_s=20)
-        task, seen, _ = await self.begin_stream(want)
+        req = Ask("moved", tokens=120, resumable=True, limit_s=20)
+        task, received, _ = await self.begin_stream(req)
         task.cancel()
         await task
-        rest = await trials.resume(self.trial, "e1", want, seen)
+        rest = await trials.resume(self.trial, "e1", req, received)
         self.assertEqual(rest.outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
 
     async def test_resume_has_a_time_limit(self):
-        """The rest of an answer comes too slowly; its caller is told."""
+        """Guards against a resumed answer without a time limit."""
         await trials.extra_entry(self, self.trial, "e6")
-        want = Ask("slow rest", tokens=_LONG, resumable=True, limit_s=2)
-        task, seen, _ = await self.begin_stream(want, "e6")
+        req = Ask("slow rest", tokens=_LONG, resumable=True, limit_s=2)
+        task, received, _ = await self.begin_stream(req, "e6")
         trials.kill(self.trial, "e6")
         await task
-        rest = await trials.resume(self.trial, "e1", want, seen)
+        rest = await trials.resume(self.trial, "e1", req, received)
         self.assertEqual(rest.outcome, Outcome.MAY_HAVE_RUN)
         await trials.settle(self, self.trial)
 
     async def test_stream_of_another_organisation(self):
-        """Somebody learnt a stream's name and asks for it.
-
-        He is refused, and the answer goes on to its own caller.
-        """
-        want = Ask("secret", tokens=60)
-        task, seen, _ = await self.begin_stream(want)
-        thief = Ask("thief", organisation=systems.ORGANISATIONS[1])
-        stolen = callers.Seen(stream=seen.stream)
-        call = await trials.resume(self.trial, "e1", thief, stolen)
+        """Guards against access to the stream of another organisation."""
+        req = Ask("secret", tokens=60)
+        task, received, _ = await self.begin_stream(req)
+        intruder_req = Ask("thief", organisation=systems.ORGANISATIONS[1])
+        intruder_answer = callers.ReceivedAnswer(stream=received.stream)
+        call = await trials.resume(
+            self.trial, "e1", intruder_req, intruder_answer
+        )
         self.assertEqual((call.code, call.text), (_NOT_AUTHORISED, ""))
         self.assertEqual((await task).outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
 
     async def test_killed_entry_leaves_no_memory(self):
-        """The caller is gone for good together with its entry.
+        """Guards against engine memory held for a caller of a killed entry.
 
-        Nobody will cancel the long answer, which would hold the engine's
-        memory for minutes; another entry finds that the owner is gone.
+        Another entry must detect the lost owner and cancel the stream.
         """
         await trials.extra_entry(self, self.trial, "e8")
-        want = Ask("orphan", tokens=_LONG)
-        task, _, _ = await self.begin_stream(want, "e8")
+        req = Ask("orphan", tokens=_LONG)
+        task, _, _ = await self.begin_stream(req, "e8")
         trials.kill(self.trial, "e8")
         await task
         await trials.settle(self, self.trial)
 
     async def test_engine_dies_mid_stream(self):
-        """The answer breaks off, and what is left of it is nowhere.
+        """Guards against a late or "not run" outcome after an engine restart.
 
-        The engine restarts at once under its address and knows no stream.
-        The caller gets an error in time, which does not say "not run".
+        The restarted engine has the same address but no streams.
         """
-        want = Ask("dead engine", tokens=_LONG, limit_s=8)
-        task, _, engine = await self.begin_stream(want)
+        req = Ask("dead engine", tokens=_LONG, limit_s=8)
+        task, _, engine = await self.begin_stream(req)
         engine.control(die=0.2)
         self.assertIn(
             (await task).outcome,
@@ -119,13 +120,12 @@
         await trials.settle(self, self.trial)
 
     async def test_engine_freezes_mid_stream(self):
-        """Nothing comes any more, and no connection breaks.
+        """Guards against a missed time limit when an engine freezes.
 
-        The caller gets its outcome when its limit passes; the stream is
-        cancelled once the engine runs again.
+        The stream must be cancelled once the engine resumes.
         """
-        want = Ask("frozen engine", tokens=_LONG, limit_s=2)
-        task, _, engine = await self.begin_stream(want)
+        req = Ask("frozen engine", tokens=_LONG, limit_s=2)
+        task, _, engine = await self.begin_stream(req)
         engine.freeze()
         self.addCleanup(engine.resume)
         self.assertEqual((await task).outcome, Outcome.MAY_HAVE_RUN)
@@ -133,7 +133,7 @@
         await trials.settle(self, self.trial)
 
     async def test_slow_engines(self):
-        """Answers come too slowly to end in time; callers are told in time."""
+        """Guards against missed time limits when the engines are slow."""
         for engine in self.system.engines.values():
             engine.control(slow_factor=100)
             self.addCleanup(engine.control, slow_factor=1)
@@ -142,38 +142,34 @@
         await trials.settle(self, self.trial)
 
     async def test_reply_lost(self):
-        """The engine takes the work and its reply is lost.
+        """Guards against a second run or a lost answer when a reply is lost.
 
-        The work may not run again. The entry chose the stream's name before
-        it sent it, and so reads the answer by name: one run, whole answer.
+        The entry chose the stream's name and can fetch the answer by it.
         """
         for engine in self.system.engines.values():
             engine.control(drop_reply_next=1)
             self.addCleanup(engine.control, drop_reply_next=0)
-        want = Ask("lost reply", repeatable=False)
-        call = await trials.ask(self.trial, "e0", want)
+        req = Ask("lost reply", repeatable=False)
+        call = await trials.ask(self.trial, "e0", req)
         self.assertEqual(call.outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
 
     async def test_replies_lost_for_good(self):
-        """The engine takes the work, and nothing of it ever comes back.
+        """Guards against a second run when no reply reaches the entry.
 
-        The entry can't read the answer by name either. The work may not run
-        again: its caller is told that it may have run, and no other engine
-        gets it.
+        The caller must learn that the work may have run.
         """
         self.fault(cut_down_after=0)
-        want = Ask("no way back", repeatable=False, limit_s=12)
-        call = await trials.ask(self.trial, "e0", want)
+        req = Ask("no way back", repeatable=False, limit_s=12)
+        call = await trials.ask(self.trial, "e0", req)
         self.assertEqual(call.outcome, Outcome.MAY_HAVE_RUN)
         trials.heal(self.system)
         await trials.settle(self, self.trial)
 
     async def test_cut_towards_engines(self):
-        """What the entry sends is swallowed on the way; nothing breaks.
+        """Guards against a false "not run" when sent requests are lost.
 
-        It can't know that, so it must not say "not run" of a stream that it
-        sent. Once the way is whole again, new work runs.
+        The connections stay open; new work must run once the link recovers.
         """
         self.fault(drop_up=True)
         call = await trials.ask(self.trial, "e0", Ask("up", limit_s=2))
@@ -184,28 +180,23 @@
         await trials.settle(self, self.trial)
 
     async def test_pieces_swallowed(self):
-        """Some pieces of an answer vanish on the way, the later ones come.
-
-        An answer with a hole would look complete. The caller gets the whole
-        one, or an error, never one with a hole.
-        """
-        want = Ask("hole", tokens=60, limit_s=8)
-        task, seen, _ = await self.begin_stream(want)
+        """Guards against an answer with a gap after some bytes are lost."""
+        req = Ask("hole", tokens=60, limit_s=8)
+        task, received, _ = await self.begin_stream(req)
         self.fault(drop_down=True)
         await asyncio.sleep(0.3)
         self.fault(drop_down=False)
         await task
-        self.assertNotEqual(seen.text, "")
+        self.assertNotEqual(received.text, "")
         await trials.settle(self, self.trial)
 
     async def test_half_open_connections(self):
-        """The engine dies, and its connections' ends are never told.
+        """Guards against a missed time limit on half-open connections.
 
-        The entry waits for pieces of a stream that is no more; its callers
-        have their outcome in time all the same.
+        The engine dies, but the entry's connections to it stay open.
         """
-        want = Ask("half open", tokens=_LONG, limit_s=1.5)
-        task, _, engine = await self.begin_stream(want)
+        req = Ask("half open", tokens=_LONG, limit_s=1.5)
+        task, _, engine = await self.begin_stream(req)
         self.fault(half_open=True)
         engine.control(die=0.1)
         self.assertIn(
@@ -215,14 +206,13 @@
         await trials.settle(self, self.trial)
 
     async def test_connections_reset_again_and_again(self):
-        """Many callers at two entries; all connections break, twice.
+        """Guards against mixed-up or cut answers after connection resets.
 
-        Late pieces of a broken connection and answers of other callers are
-        near; each caller gets its own answer, whole.
+        Many callers at two entries stream while all connections break twice.
         """
         for i in range(30):
-            want = Ask(f"many {i}", tokens=20 + 3 * i, limit_s=20)
-            trials.begin(self.trial, f"e{i % 2}", want)
+            req = Ask(f"many {i}", tokens=20 + 3 * i, limit_s=20)
+            trials.begin(self.trial, f"e{i % 2}", req)
         for _ in range(2):
             await asyncio.sleep(0.4)
             self.system.proxy.control(reset=True)
@@ -231,36 +221,38 @@
         self.assertEqual(outcomes, {Outcome.ANSWERED})
 
     async def test_one_answer_broken_many_times(self):
-        """A long answer's connection breaks again and again, for minutes.
+        """Guards against failing a stream after a fixed number of reconnects.
 
-        It makes progress each time; the number of breaks is no reason to
-        give it up.
+        The stream makes progress between the breaks.
         """
-        want = Ask("many breaks", tokens=160, limit_s=20)
-        task, seen, _ = await self.begin_stream(want)
+        req = Ask("many breaks", tokens=160, limit_s=20)
+        task, received, _ = await self.begin_stream(req)
         for _ in range(8):
             self.system.proxy.control(reset=True)
-            had = seen.text
+            previous = received.text
             await trials.until(
-                lambda had=had: seen.text != had or task.done(), 9, "progress"
+                lambda previous=previous: (
+                    received.text != previous or task.done()
+                ),
+                9,
+                "progress",
             )
         self.assertEqual((await task).outcome, Outcome.ANSWERED)
         await trials.settle(self, self.trial)
 
     async def test_callers_go_away(self):
-        """Callers hang up in the middle, some before the engine was reached.
+        """Guards against leaked memory after callers disconnect.
 
-        Requests and cancels wait together on the way and may overtake each
-        other; all memory comes back long before the answers would have ended.
+        Requests and cancellations are delayed and may overtake each other.
         """
         tasks = []
         for i in range(4):
-            want = Ask(f"gone {i}", tokens=_LONG, limit_s=60)
-            tasks.append((await self.begin_stream(want))[0])
+            req = Ask(f"gone {i}", tokens=_LONG, limit_s=60)
+            tasks.append((await self.begin_stream(req))[0])
         self.fault(hold_up=True)
         for i in range(4):
-            want = Ask(f"gone early {i}", tokens=_LONG, limit_s=60)
-            tasks.append(trials.begin(self.trial, "e1", want)[0])
+            req = Ask(f"gone early {i}", tokens=_LONG, limit_s=60)
+            tasks.append(trials.begin(self.trial, "e1", req)[0])
         await asyncio.sleep(0.2)
         for task in tasks:
             task.cancel()
--- a/copperloom/tests/trials.py
+++ b/copperloom/tests/trials.py
@@ -1,8 +1,8 @@
-"""Runs calls against a system and judges the recorded history.
+"""Runs calls against a system and checks the recorded history.
 
-A trial holds a history. Its calls run as tasks, so that faults can be put
-between them; `settle` waits for all, asks the targets what really ran, and
-fails the test on any broken promise.
+The calls of a trial run as tasks, so that faults can be injected meanwhile.
+`settle` waits for all calls, fetches the record of runs from the targets, and
+fails the test if the history breaks any guarantee.
 """
 
 import asyncio
@@ -19,26 +19,26 @@
 
 __all__ = ["Trial", "begin", "change", "settle", "start_trial", "until"]
 
-# Cancels are sent again until confirmed, and an engine sweeps twice a second.
-_MEMORY_BACK_S = 20.0
+# Covers repeated cancellations and the engines' periodic clean-up.
+_MEMORY_FREE_LIMIT_S = 20.0
 _POLL_S = 0.02
-# Time that the call that kills may take, and that a thawed entry may need to
-# catch up with what came meanwhile.
-_KILL_S = 1.0
-_THAW_S = 2.0
+# Margins for the duration of a kill, and for a resumed entry to process its
+# backlog.
+_KILL_MARGIN_S = 1.0
+_RESUME_MARGIN_S = 2.0
 _CALLS_LIMIT_S = 60.0
 
 
 @dataclasses.dataclass
 class Trial:
-    """A system under test and what was seen of it.
+    """A system under test and the history of its calls.
 
     Attributes:
         system: The system.
-        session: The callers' HTTP client.
-        history: What was seen.
-        tasks: Calls begun.
-        leaving: Entries told to stop, with the time.
+        session: HTTP client of the callers.
+        history: Recorded calls, runs, faults and changes.
+        tasks: Tasks of all calls, also of those that ended.
+        leaving: Monotonic time of the stop signal, by entry.
     """
 
     system: systems.System
@@ -49,8 +49,8 @@
 
 
 async def start_trial(case, system: systems.System) -> Trial:
-    """Starts a trial whose client is closed when the case ends."""
-    # The debug mode of the test case reports each slow step of the loop.
+    """Starts a trial; its HTTP client is closed when the test case ends."""
+    # Debug mode, which the test case enables, logs every slow loop step.
     asyncio.get_running_loop().set_debug(False)
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
     case.addAsyncCleanup(session.close)
@@ -58,21 +58,21 @@
 
 
 def begin(
-    trial: Trial, entry: str, want: callers.Ask
-) -> tuple[asyncio.Task, callers.Seen]:
-    """Begins a call; what comes is seen while it comes."""
-    seen = callers.Seen()
+    trial: Trial, entry: str, req: callers.Ask
+) -> tuple[asyncio.Task, callers.ReceivedAnswer]:
+    """Begins a call; returns its task and the answer as it arrives."""
+    received = callers.ReceivedAnswer()
     process = trial.system.entries[entry]
-    sent = callers.ask(trial.session, process, want, seen=seen)
-    return _track(trial, sent), seen
+    sent = callers.ask(trial.session, process, req, received=received)
+    return _track(trial, sent), received
 
 
 def resume(
-    trial: Trial, entry: str, want: callers.Ask, seen: callers.Seen
+    trial: Trial, entry: str, req: callers.Ask, received: callers.ReceivedAnswer
 ) -> asyncio.Task:
-    """Begins to read the rest of a cut answer."""
+    """Begins to fetch the rest of a cut answer at another entry."""
     process = trial.system.entries[entry]
-    return _track(trial, callers.resume(trial.session, process, want, seen))
+    return _track(trial, callers.resume(trial.session, process, req, received))
 
 
 def _track(trial: Trial, sent) -> asyncio.Task:
@@ -86,32 +86,32 @@
     return task
 
 
-async def ask(trial: Trial, entry: str, want: callers.Ask) -> history.Call:
-    """Makes a call and waits for its end."""
-    return await begin(trial, entry, want)[0]
+async def ask(trial: Trial, entry: str, req: callers.Ask) -> history.Call:
+    """Makes a call and waits until it ends."""
+    return await begin(trial, entry, req)[0]
 
 
 async def extra_entry(case, trial: Trial, name: str, **sections: dict) -> None:
-    """Starts an entry that only this case uses, and may kill."""
+    """Starts an entry for a single test case, which may kill it."""
     systems.add_entry(case, trial.system, name, sections)
     case.addCleanup(trial.system.entries.pop, name, None)
     process = trial.system.entries[name]
     await until(
-        lambda: admits(process), processes.READY_LIMIT_S, f"{name} serves"
+        lambda: admits(process), processes.READY_LIMIT_S, f"{name} ready"
     )
 
 
 def kill(trial: Trial, entry: str) -> None:
-    """Kills an entry and notes the fault."""
+    """Kills an entry and records the fault."""
     trial.system.entries[entry].kill()
     trial.history.faults.append(
-        history.Fault(entry, time.monotonic() - _KILL_S, float("inf"))
+        history.Fault(entry, time.monotonic() - _KILL_MARGIN_S, float("inf"))
     )
 
 
 @contextlib.contextmanager
 def frozen(trial: Trial, entry: str):
-    """Keeps an entry from running while the body runs."""
+    """Freezes an entry for the duration of the body."""
     process = trial.system.entries[entry]
     since = time.monotonic()
     process.freeze()
@@ -119,41 +119,40 @@
         yield
     finally:
         process.resume()
-        fault = history.Fault(entry, since, time.monotonic() + _THAW_S)
+        fault = history.Fault(entry, since, time.monotonic() + _RESUME_MARGIN_S)
         trial.history.faults.append(fault)
 
 
 def fault(case, system: systems.System, *links: str, **changes) -> None:
-    """Puts faults on links of the proxy, taken off when the case ends."""
+    """Injects faults into proxy links until the test case ends."""
     for link in links:
         system.proxy.control(pair=link, **changes)
     case.addCleanup(heal, system)
 
 
 def heal(system: systems.System) -> None:
-    """Takes all faults off the proxy's links, and closes what they spoilt."""
+    """Removes all faults of the proxy and resets its connections."""
     system.proxy.control(**dataclasses.asdict(PairFaults()), reset=True)
 
 
-async def until(condition, within_s: float, what: str):
-    """Waits for a condition without holding up the loop.
+async def until(condition, limit_s: float, description: str):
+    """Waits for a condition without blocking the event loop.
 
-    See copperloom.tests.processes.wait_until. The condition runs in a thread:
-    a call to a frozen process would keep the callers' time limits from being
-    looked at.
+    See copperloom.tests.processes.wait_until. The condition runs in a thread,
+    since a call to a frozen process would delay the callers' timeouts.
     """
-    give_up = time.monotonic() + within_s
+    deadline = time.monotonic() + limit_s
     while True:
-        got = await asyncio.to_thread(processes.attempt, condition)
-        if got:
-            return got
-        if time.monotonic() > give_up:
-            raise AssertionError(f"not within {within_s} s: {what}")
+        value = await asyncio.to_thread(processes.attempt, condition)
+        if value:
+            return value
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out after {limit_s} s: {description}")
         await asyncio.sleep(_POLL_S)
 
 
 async def settle(case, trial: Trial, *, memory: bool = True) -> None:
-    """Waits for all calls and fails the case on any broken promise."""
+    """Waits for all calls and fails the case on any broken guarantee."""
     async with asyncio.timeout(_CALLS_LIMIT_S):
         await asyncio.gather(*trial.tasks)
     if memory:
@@ -164,30 +163,30 @@
 
 
 async def memory_back(trial: Trial) -> None:
-    """Waits for the engines' memory, and notes what they count then."""
+    """Waits until the engines' memory is free, and records its use."""
     engines = trial.system.engines
     try:
         await until(
             lambda: not any(in_use(e) for e in engines.values()),
-            _MEMORY_BACK_S,
-            "memory back",
+            _MEMORY_FREE_LIMIT_S,
+            "engine memory released",
         )
     except AssertionError:
-        # The checker reports it, with the figures.
+        # The checker reports the memory in use.
         pass
     for name, engine in engines.items():
         tokens = in_use(engine)
-        note = history.Memory(name, tokens, 0, time.monotonic())
-        trial.history.memory.append(note)
+        record = history.Memory(name, tokens, 0, time.monotonic())
+        trial.history.memory.append(record)
 
 
 def in_use(engine: processes.Process) -> int:
-    """Returns the memory in use by an engine's own count, in tokens."""
+    """Returns an engine's KV memory in use, in tokens."""
     return engine.truth()["kv_used"]
 
 
 def collect_runs(trial: Trial) -> None:
-    """Adds what the targets say that they ran."""
+    """Adds the runs that the targets recorded to the history."""
     offset_s = time.monotonic() - time.time()
     for name, process in trial.system.targets().items():
         for run in process.truth()["runs"]:
@@ -203,7 +202,7 @@
 
 
 def runs_of(trial: Trial, key: str) -> int:
-    """Returns how often the targets ran work under a key."""
+    """Returns the number of runs at all targets under a key."""
     found = 0
     for process in trial.system.targets().values():
         found += sum(run["key"] == key for run in process.truth()["runs"])
@@ -211,7 +210,7 @@
 
 
 def admin(entry: processes.Process, method: str, path: str, body=None) -> dict:
-    """Makes one operator's call."""
+    """Makes a call to the operators' interface of an entry."""
     return processes.call(
         entry.address,
         method,
@@ -222,10 +221,10 @@
 
 
 def read_configuration(trial: Trial, entry: str) -> history.ConfigurationRead:
-    """Asks an entry for its version, and whether it admits work.
+    """Records an entry's configuration version and whether it admits work.
 
-    Whether it admits is asked first: its version can only be newer then, so
-    that an entry that catches up in between is not blamed.
+    Admission is probed before the version is read: otherwise an entry that
+    updates in between would appear to admit work with an old version.
     """
     at = time.monotonic()
     process = trial.system.entries[entry]
@@ -239,7 +238,10 @@
 
 
 def admits(entry: processes.Process) -> bool:
-    """Whether an entry admits work, shown by how far a bad request gets."""
+    """Returns whether an entry admits work.
+
+    An entry that admits work rejects an unknown model with 404.
+    """
     try:
         processes.call(
             entry.address,
@@ -261,7 +263,11 @@
     seen_version: int | None = None,
     wait_s: float = 0.0,
 ) -> dict:
-    """Makes a change through an entry; returns the reply with its status."""
+    """Makes a change through an entry.
+
+    Returns:
+        The reply, with the HTTP status as "status".
+    """
     body = {
         "operator": operator,
         "puts": [configuration.encode_entity(e) for e in entities],
@@ -271,8 +277,8 @@
     url = f"http://{trial.system.entries[entry].address}/admin/v1/changes"
     headers = {"Authorization": f"Bearer {systems.OPERATOR_TOKEN}"}
     async with trial.session.post(url, json=body, headers=headers) as reply:
-        told = await reply.json() | {"status": reply.status}
+        result = await reply.json() | {"status": reply.status}
     if reply.status == 200:
-        note = history.Accepted(told["version"], operator, time.monotonic())
-        trial.history.accepted.append(note)
-    return told
+        record = history.Accepted(result["version"], operator, time.monotonic())
+        trial.history.accepted.append(record)
+    return result
