--- a/copperloom/tests/test_bad_input.py
+++ b/copperloom/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a numbered error at once, and nothing else is hurt by it."""
+"""Guards against bad input that is accepted or disturbs other requests."""
 
 import json
 import unittest
@@ -7,8 +7,8 @@
 
 from copperloom.tests import systems
 
-_CHAT = "/v1/chat/completions"
-_GOOD = {
+_CHAT_PATH = "/v1/chat/completions"
+_VALID_BODY = {
     "model": systems.CHAT,
     "messages": [{"role": "user", "content": "x"}],
     "max_tokens": 2,
@@ -36,37 +36,41 @@
         )
         self.addAsyncCleanup(self.session.close)
 
-    async def post(self, body, path=_CHAT, **headers) -> tuple[int, dict]:
+    async def post(self, body, path=_CHAT_PATH, **headers) -> tuple[int, dict]:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        named = {k.replace("_", "-"): v for k, v in headers.items()}
-        async with self.session.post(path, data=data, headers=named) as reply:
+        header_names = {k.replace("_", "-"): v for k, v in headers.items()}
+        async with self.session.post(
+            path, data=data, headers=header_names
+        ) as reply:
             return reply.status, await reply.json()
 
-    async def refused(self, code: int, status: int, body, **options):
-        """Checks the error, and that a good request still is served."""
-        got, reply = await self.post(body, **options)
-        self.assertEqual(got, status, reply)
+    async def assert_rejected(self, code: int, status: int, body, **options):
+        """Checks the error, and that a valid request is still served."""
+        actual_status, reply = await self.post(body, **options)
+        self.assertEqual(actual_status, status, reply)
         self.assertEqual(reply["error"]["code"], code)
         self.assertEqual(reply["error"]["run"], "not_run")
-        # None of these gets better by trying again.
+        # A retry can't succeed, so none is suggested.
         self.assertNotIn("retry_after_s", reply["error"])
-        got, reply = await self.post(_GOOD)
-        self.assertEqual(got, 200, reply)
+        actual_status, reply = await self.post(_VALID_BODY)
+        self.assertEqual(actual_status, 200, reply)
 
     async def test_malformed_json(self):
-        await self.refused(2001, 400, b'{"model": ')
-        await self.refused(2001, 400, b"\xff\xfe")
-        await self.refused(2001, 400, {"model": systems.CHAT})
-        await self.refused(2001, 400, _GOOD | {"messages": []})
-        await self.refused(2001, 400, _GOOD | {"max_tokens": 0})
+        await self.assert_rejected(2001, 400, b'{"model": ')
+        await self.assert_rejected(2001, 400, b"\xff\xfe")
+        await self.assert_rejected(2001, 400, {"model": systems.CHAT})
+        await self.assert_rejected(2001, 400, _VALID_BODY | {"messages": []})
+        await self.assert_rejected(2001, 400, _VALID_BODY | {"max_tokens": 0})
 
     async def test_unknown_names(self):
-        await self.refused(2003, 404, _GOOD | {"model": "none"})
-        await self.refused(2003, 404, {}, path="/v1/services/none/x")
-        await self.refused(2002, 401, _GOOD, Authorization="Bearer of-nobody")
+        await self.assert_rejected(2003, 404, _VALID_BODY | {"model": "none"})
+        await self.assert_rejected(2003, 404, {}, path="/v1/services/none/x")
+        await self.assert_rejected(
+            2002, 401, _VALID_BODY, Authorization="Bearer of-nobody"
+        )
 
     async def test_body_too_large(self):
-        await self.refused(2005, 413, b"x" * (_BODY_LIMIT_BYTES + 1))
+        await self.assert_rejected(2005, 413, b"x" * (_BODY_LIMIT_BYTES + 1))
 
     async def test_headers_out_of_range(self):
         for header in (
@@ -78,21 +82,25 @@
             {"Idempotency_Key": "k" * 201},
         ):
             with self.subTest(header):
-                await self.refused(2006, 400, _GOOD, **header)
+                await self.assert_rejected(2006, 400, _VALID_BODY, **header)
 
-    async def test_prompt_that_no_group_can_hold(self):
+    async def test_prompt_larger_than_all_engines(self):
         text = "x" * (_BODY_LIMIT_BYTES - 1000)
-        long = [{"role": "user", "content": text}]
-        await self.refused(2007, 413, _GOOD | {"messages": long})
+        messages = [{"role": "user", "content": text}]
+        await self.assert_rejected(
+            2007, 413, _VALID_BODY | {"messages": messages}
+        )
 
-    async def test_one_key_with_two_bodies(self):
+    async def test_key_reused_with_another_body(self):
         headers = {
             "Idempotency_Key": "admission-1",
             "X_Copperloom_Not_Repeatable": "true",
         }
-        status, first = await self.post(_GOOD, **headers)
+        status, first = await self.post(_VALID_BODY, **headers)
         self.assertEqual(status, 200)
-        await self.refused(2008, 422, _GOOD | {"max_tokens": 3}, **headers)
-        status, again = await self.post(_GOOD, **headers)
+        await self.assert_rejected(
+            2008, 422, _VALID_BODY | {"max_tokens": 3}, **headers
+        )
+        status, repeated = await self.post(_VALID_BODY, **headers)
         self.assertEqual(status, 200)
-        self.assertEqual(again["choices"], first["choices"])
+        self.assertEqual(repeated["choices"], first["choices"])
--- a/copperloom/tests/test_changes.py
+++ b/copperloom/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes come into force everywhere, never revert; targets leave in time."""
+"""Guards against lost or reverted changes, and work at retired targets."""
 
 import asyncio
 import time
@@ -11,10 +11,10 @@
 
 _ENTRIES = ("e0", "e1", "e2")
 _CHANGE_LOST = 5004
-_STALE = 5006
+_CONFIGURATION_STALE = 5006
 _SPREAD_S = 5.0
 _CONFIRM_S = 2.0
-# The letter's 12 s, less what the spread of a change takes.
+# Leaves time for a change to spread before it must be in force.
 _STOP_ADMITTING_S = 9.0
 
 
@@ -39,12 +39,12 @@
         }
 
     async def set_target(self, name: str, state: TargetState) -> int:
-        """Retires or admits a target through e0; returns the version."""
-        told = await trials.change(
+        """Sets a target's state through e0; returns the new version."""
+        reply = await trials.change(
             self.trial, "e0", systems.target(self.system, name, state)
         )
-        self.assertEqual(told["status"], 200, told)
-        return told["version"]
+        self.assertEqual(reply["status"], 200, reply)
+        return reply["version"]
 
     async def retire(self, name: str) -> int:
         version = await self.set_target(name, TargetState.RETIRED)
@@ -53,8 +53,8 @@
         self.addAsyncCleanup(self.set_target, name, TargetState.ADMITTED)
         return version
 
-    async def drive(self, entry: str, count: int) -> None:
-        """Sends short work to an entry, at both engines if both are open."""
+    async def send_short_requests(self, entry: str, count: int) -> None:
+        """Sends short requests to an entry, enough for both engines."""
         for i in range(count):
             trials.begin(self.trial, entry, Ask(f"drive {i}", limit_s=15))
             await asyncio.sleep(0.02)
@@ -63,20 +63,19 @@
         return len(self.system.engines[engine].truth()["runs"])
 
     async def test_operators_race(self):
-        """Two operators switch the preset at the same moment.
+        """Guards against a lost update by two operators at the same time.
 
-        Both saw the same version. One wins, the other is told so; all
-        entries have the winner's preset at the same version.
+        Both start from the same version; exactly one change is accepted.
         """
-        seen = trials.read_configuration(self.trial, "e0").version
-        told = await asyncio.gather(
+        base_version = trials.read_configuration(self.trial, "e0").version
+        replies = await asyncio.gather(
             *(
                 trials.change(
                     self.trial,
                     entry,
                     PresetInForce(preset),
                     operator=operator,
-                    seen_version=seen,
+                    seen_version=base_version,
                 )
                 for entry, preset, operator in (
                     ("e0", "peak", "anna"),
@@ -84,32 +83,30 @@
                 )
             )
         )
-        self.assertEqual(sorted(t["status"] for t in told), [200, 409], told)
-        lost = next(t for t in told if t["status"] == 409)
-        self.assertEqual(lost["code"], _CHANGE_LOST)
+        self.assertEqual(
+            sorted(r["status"] for r in replies), [200, 409], replies
+        )
+        rejected = next(r for r in replies if r["status"] == 409)
+        self.assertEqual(rejected["code"], _CHANGE_LOST)
         await trials.until(
-            lambda: self.versions() == {seen + 1}, _SPREAD_S, "in force"
+            lambda: self.versions() == {base_version + 1}, _SPREAD_S, "in force"
         )
         await trials.settle(self, self.trial)
 
     async def test_confirmation_of_a_change_lost(self):
-        """The change is made and its confirmation is lost.
-
-        The operator is told the truth: it is accepted, by reading back.
-        """
+        """Guards against an error for a change whose confirmation is lost."""
         self.system.platform.control(lose_confirmations=1)
-        told = await trials.change(self.trial, "e0", PresetInForce("peak"))
-        self.assertEqual(told["status"], 200, told)
+        reply = await trials.change(self.trial, "e0", PresetInForce("peak"))
+        self.assertEqual(reply["status"], 200, reply)
         await trials.until(
-            lambda: self.versions() == {told["version"]}, _SPREAD_S, "in force"
+            lambda: self.versions() == {reply["version"]}, _SPREAD_S, "in force"
         )
         await trials.settle(self, self.trial)
 
     async def test_retired_while_an_entry_is_cut_from_the_platform(self):
-        """An entry no longer reaches the platform, but goes on serving.
+        """Guards against work at a retired target from a partitioned entry.
 
-        A target is retired elsewhere. Its peers pass the change on: a few
-        seconds later the entry sends the target nothing more.
+        The entry can't reach the platform and gets the change from its peers.
         """
         trials.fault(self, self.system, "platform-e2", refuse=True, reset=True)
         version = await self.retire("g1")
@@ -118,39 +115,36 @@
                 trials.read_configuration(self.trial, "e2").version >= version
             ),
             _SPREAD_S,
-            "e2 heard of the change",
+            "e2 received the change",
         )
         before = self.runs_at("g1")
-        await self.drive("e2", 10)
+        await self.send_short_requests("e2", 10)
         await trials.settle(self, self.trial)
         self.assertEqual(self.runs_at("g1"), before)
 
     async def test_retired_while_an_entry_is_paused(self):
-        """An entry is paused, and a target is retired meanwhile.
+        """Guards against work at a retired target from an entry after a pause.
 
-        Requests wait in the entry's sockets. When it runs again it has the
-        old configuration, and no proof that it is still in force: what it
-        admits before it has looked must not reach the target.
+        It resumes with a stale configuration and requests in its sockets.
         """
         with trials.frozen(self.trial, "e2"):
             await self.retire("g1")
-            await self.drive("e2", 10)
+            await self.send_short_requests("e2", 10)
             await asyncio.sleep(_CONFIRM_S + 0.5)
             before = self.runs_at("g1")
         await trials.settle(self, self.trial)
         self.assertEqual(self.runs_at("g1"), before)
 
     async def test_entry_cut_from_all(self):
-        """An entry reaches neither the platform nor the other entries.
+        """Guards against admission by an isolated entry.
 
-        Operators may change anything without it. It stops admitting before
-        a change could be promised to be in force, and says "not run".
+        It must stop before a change that it can't receive comes into force.
         """
         e2 = self.system.entries["e2"]
         await trials.until(
             lambda: trials.admin(e2, "GET", "status")["known_members"] >= 3,
             _SPREAD_S,
-            "e2 knows the others",
+            "e2 knows the other entries",
         )
         trials.fault(self, self.system, "platform-e2", refuse=True, reset=True)
         with trials.frozen(self.trial, "e0"), trials.frozen(self.trial, "e1"):
@@ -161,7 +155,7 @@
             )
             call = await trials.ask(self.trial, "e2", Ask("cut off"))
             self.assertEqual(call.outcome, Outcome.NOT_RUN)
-            self.assertEqual(call.code, _STALE)
+            self.assertEqual(call.code, _CONFIGURATION_STALE)
         trials.heal(self.system)
         await trials.until(
             lambda: trials.admits(e2), _SPREAD_S, "e2 admits again"
@@ -169,11 +163,9 @@
         await trials.settle(self, self.trial)
 
     async def test_entry_that_knows_nobody(self):
-        """An entry has just started when the platform goes down.
+        """Guards against a new entry that takes itself for the whole fleet.
 
-        The list of instances was too old to name anybody, so it is alone to
-        its knowledge. It must not take itself for the whole fleet: the others
-        may accept a change once the platform is back for them.
+        A stale instance list and an outage hide the other entries from it.
         """
         platform = self.system.platform
         platform.control(list_lag_s=60)
@@ -191,7 +183,7 @@
         await trials.settle(self, self.trial)
 
     async def test_platform_lists_a_target_as_leaving(self):
-        """The platform takes a target away that no operator retired."""
+        """Guards against work at a target that the platform is draining."""
         address = self.system.engines["g1"].address
         row = {
             "name": "g1",
@@ -211,31 +203,31 @@
                 for e in _ENTRIES
             ),
             _SPREAD_S,
-            "all know that g1 leaves",
+            "all entries know that g1 is draining",
         )
         before = self.runs_at("g1")
-        await self.drive("e0", 6)
+        await self.send_short_requests("e0", 6)
         await trials.settle(self, self.trial)
         self.assertEqual(self.runs_at("g1"), before)
 
     async def test_target_says_that_it_leaves(self):
-        """A target refuses with its own word; its work runs elsewhere."""
+        """Guards against failed requests when a draining target refuses."""
         self.system.engines["g1"].control(leaving=True)
         self.addCleanup(self.system.engines["g1"].control, leaving=False)
-        await self.drive("e0", 6)
+        await self.send_short_requests("e0", 6)
         await trials.settle(self, self.trial)
         outcomes = {call.outcome for call in self.trial.history.calls}
         self.assertEqual(outcomes, {Outcome.ANSWERED})
 
     async def test_entry_restarted(self):
-        """An entry is killed and comes back empty: it serves nothing older."""
-        told = await trials.change(self.trial, "e0", PresetInForce("peak"))
+        """Guards against an older configuration after an entry's restart."""
+        reply = await trials.change(self.trial, "e0", PresetInForce("peak"))
         await trials.extra_entry(self, self.trial, "e7")
         trials.read_configuration(self.trial, "e7")
         trials.kill(self.trial, "e7")
         await trials.extra_entry(self, self.trial, "e7")
         read = trials.read_configuration(self.trial, "e7")
-        self.assertGreaterEqual(read.version, told["version"])
+        self.assertGreaterEqual(read.version, reply["version"])
         await trials.settle(self, self.trial)
 
 
--- a/copperloom/tests/test_client_library.py
+++ b/copperloom/tests/test_client_library.py
@@ -1,4 +1,4 @@
-"""An ordinary client library works with an entry, unchanged."""
+"""Guards against replies that a common client library can't parse."""
 
 import unittest
 
@@ -24,19 +24,19 @@
         return client
 
     def setUp(self):
-        self.good = self.client(systems.token_of("org-a"))
+        self.authorised = self.client(systems.token_of("org-a"))
 
     def test_one_answer(self):
-        got = self.good.chat.completions.create(
+        answer = self.authorised.chat.completions.create(
             model=systems.CHAT, messages=_PROMPT, max_tokens=_TOKENS
         )
-        choice = got.choices[0]
+        choice = answer.choices[0]
         self.assertEqual(len(choice.message.content.split()), _TOKENS)
-        self.assertEqual(got.usage.completion_tokens, _TOKENS)
+        self.assertEqual(answer.usage.completion_tokens, _TOKENS)
         self.assertIn(choice.finish_reason, ("stop", "length"))
 
     def test_stream(self):
-        stream = self.good.chat.completions.create(
+        stream = self.authorised.chat.completions.create(
             model=systems.CHAT,
             messages=_PROMPT,
             max_tokens=_TOKENS,
@@ -49,29 +49,31 @@
         )
         self.assertEqual(len(text.split()), _TOKENS)
 
-    def test_stream_and_whole_answer_are_the_same(self):
-        whole = self.good.chat.completions.create(
+    def test_stream_equals_whole_answer(self):
+        whole = self.authorised.chat.completions.create(
             model=systems.CHAT, messages=_PROMPT, max_tokens=_TOKENS
         )
-        stream = self.good.chat.completions.create(
+        stream = self.authorised.chat.completions.create(
             model=systems.CHAT,
             messages=_PROMPT,
             max_tokens=_TOKENS,
             stream=True,
         )
-        parts = [c.choices[0].delta.content or "" for c in stream]
-        self.assertEqual("".join(parts), whole.choices[0].message.content)
+        pieces = [c.choices[0].delta.content or "" for c in stream]
+        self.assertEqual("".join(pieces), whole.choices[0].message.content)
 
     def test_models(self):
-        names = [model.id for model in self.good.models.list()]
+        names = [model.id for model in self.authorised.models.list()]
         self.assertIn(systems.CHAT, names)
 
-    def test_errors_are_the_library_s_own(self):
+    def test_errors_are_library_exceptions(self):
         with self.assertRaises(openai.AuthenticationError) as caught:
             self.client("wrong").chat.completions.create(
                 model=systems.CHAT, messages=_PROMPT
             )
         self.assertEqual(caught.exception.body["code"], 2002)
         with self.assertRaises(openai.NotFoundError) as caught:
-            self.good.chat.completions.create(model="none", messages=_PROMPT)
+            self.authorised.chat.completions.create(
+                model="none", messages=_PROMPT
+            )
         self.assertEqual(caught.exception.body["code"], 2003)
--- a/copperloom/tests/test_exception.py
+++ b/copperloom/tests/test_exception.py
@@ -1,4 +1,4 @@
-"""Tests that the table of result codes is whole and unambiguous."""
+"""Guards against duplicate result codes and codes missing in the docs."""
 
 import pathlib
 import unittest
@@ -9,21 +9,21 @@
 
 
 def error_classes() -> list[type[exception.CopperloomError]]:
-    found = [getattr(exception, name) for name in exception.__all__]
+    exported = [getattr(exception, name) for name in exception.__all__]
     return [
         cls
-        for cls in found
+        for cls in exported
         if issubclass(cls, exception.CopperloomError)
         and cls is not exception.CopperloomError
     ]
 
 
 class ExceptionTest(unittest.TestCase):
-    def test_codes_differ(self):
+    def test_codes_are_unique(self):
         codes = [cls.code for cls in error_classes()]
         self.assertEqual(len(codes), len(set(codes)))
 
-    def test_table_lists_each_code(self):
+    def test_docs_list_each_code(self):
         text = _TABLE.read_text()
         for cls in error_classes():
             name = cls.__name__.removesuffix("Error")
--- a/copperloom/tests/test_logs.py
+++ b/copperloom/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output are bounded and never block."""
+"""Guards against logging that blocks the process or fills its memory."""
 
 import os
 import unittest
@@ -13,29 +13,32 @@
         self.addCleanup(os.close, self.write)
         self.writer = logs.BoundedWriter(self.write)
 
-    def test_lines_go_out(self):
+    def test_line_is_written(self):
         self.writer.write("event=a", 0.0)
         self.assertEqual(os.read(self.read, 100), b"event=a\n")
 
-    def test_reader_that_stops_blocks_nobody(self):
-        """Nobody reads; the process goes on and says what it dropped."""
+    def test_stalled_reader_does_not_block_the_writer(self):
+        """Guards against a blocked process when its output is not read.
+
+        Lines beyond the buffer are dropped, and their number is logged.
+        """
         line = "x" * 1000
         for step in range(3000):
             self.writer.write(line, step * 0.01)
         self.assertGreater(self.writer.dropped, 0)
         self.assertLess(self.writer.waiting_bytes, 300_000)
         os.set_blocking(self.read, False)
-        got = b""
+        output = b""
         for _ in range(200):
             try:
-                got += os.read(self.read, 1 << 16)
+                output += os.read(self.read, 1 << 16)
             except BlockingIOError:
                 self.writer.flush()
         self.writer.write("event=last", 1e6)
-        got += os.read(self.read, 1 << 16)
-        self.assertIn(b"event=log_lines_dropped count=", got)
+        output += os.read(self.read, 1 << 16)
+        self.assertIn(b"event=log_lines_dropped count=", output)
 
-    def test_flood_is_cut_to_a_rate(self):
+    def test_burst_of_lines_is_rate_limited(self):
         for _ in range(5000):
             self.writer.write("e", 0.0)
         self.assertEqual(
--- a/copperloom/tests/test_processes.py
+++ b/copperloom/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The fixtures that start and stop real processes."""
+"""Tests the fixtures that start and stop real processes."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def test_standin_answers_and_ends(self):
+    def test_standin_replies_until_killed(self):
         platform = processes.start_standin(self, "platform")
         self.assertIn("rows", platform.truth())
         platform.kill()
         self.assertFalse(platform.running())
 
-    def test_frozen_process_gives_no_answer_until_resumed(self):
+    def test_frozen_process_does_not_reply_until_resumed(self):
         service = processes.start_standin(self, "service")
         service.freeze()
         with self.assertRaises(OSError):
@@ -22,11 +22,11 @@
         service.resume()
         self.assertEqual(service.truth()["runs"], [])
 
-    def test_bad_settings_show_in_the_failure(self):
+    def test_settings_error_is_shown_in_the_failure(self):
         with self.assertRaisesRegex(AssertionError, "no_such_key"):
             processes.start_standin(self, "engine", engine={"no_such_key": 1})
 
-    def test_wait_until_names_what_did_not_come(self):
+    def test_wait_until_names_the_condition_in_its_error(self):
         with self.assertRaisesRegex(AssertionError, "the moon"):
             processes.wait_until(lambda: False, 0.05, "the moon")
 
--- a/copperloom/tests/test_recovery.py
+++ b/copperloom/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Instances as processes: all killed at once, and all stopped in turn."""
+"""Guards against failures of a fleet in mass restarts and rolling stops."""
 
 import asyncio
 import signal
@@ -11,11 +11,10 @@
 
 _READY_LIMIT_S = 8.0
 _POLL_S = 0.05
-# Each process writes and reads the members' rows, reads both tables, and then
-# follows them: two calls each 3 s, for those that do.
-_MOST_CALLS_EACH = 8
-_ROLL = world.Sizes(fronts=3, callers=6)
-_NINE = world.Sizes(fronts=9, callers=0)
+# Covers membership, the first read of both tables, and periodic polls.
+_MAX_CALLS_PER_INSTANCE = 8
+_ROLLING_STOP_SIZES = world.Sizes(fronts=3, callers=6)
+_MASS_KILL_SIZES = world.Sizes(fronts=9, callers=0)
 
 
 class RecoveryTest(unittest.IsolatedAsyncioTestCase):
@@ -26,23 +25,24 @@
         self.addAsyncCleanup(self.session.close)
         run = await world.open_world(seed, sizes, folder.name, self.session)
         self.addAsyncCleanup(world.close, run)
-        keeping = [asyncio.ensure_future(processes.keep(f)) for f in run.fronts]
+        supervisors = [
+            asyncio.ensure_future(processes.keep(f)) for f in run.fronts
+        ]
 
-        async def stop_keeping() -> None:
-            for task in keeping:
+        async def cancel_supervisors() -> None:
+            for task in supervisors:
                 task.cancel()
 
-        self.addAsyncCleanup(stop_keeping)
+        self.addAsyncCleanup(cancel_supervisors)
         return run
 
-    async def test_nine_killed_at_once(self):
-        """All processes are killed at the same moment, and start again.
+    async def test_all_instances_killed_at_once(self):
+        """Guards against a slow recovery or a thundering herd at the table.
 
-        They are ready within seconds, and ask the table for little: no rush
-        that the table would turn away.
+        All instances are killed at the same time and restart.
         """
-        run = await self._open(61, _NINE)
-        before = sum(run.store.calls.values())
+        run = await self._open(61, _MASS_KILL_SIZES)
+        calls_before = sum(run.store.calls.values())
         for front in run.fronts:
             front.signal(signal.SIGKILL)
         await asyncio.sleep(0.5)
@@ -50,26 +50,25 @@
             for front in run.fronts:
                 while not await front.ready(self.session):
                     await asyncio.sleep(_POLL_S)
-        calls = sum(run.store.calls.values()) - before
-        self.assertLessEqual(calls, len(run.fronts) * _MOST_CALLS_EACH)
+        calls = sum(run.store.calls.values()) - calls_before
+        self.assertLessEqual(calls, len(run.fronts) * _MAX_CALLS_PER_INSTANCE)
 
-    async def test_all_stopped_in_turn(self):
-        """Each process gets its stop signal while callers go on.
+    async def test_instances_stopped_in_turn(self):
+        """Guards against cut answers and repeated runs in a rolling stop.
 
-        Callers move to the others, as the balancer would move them; nothing
-        that was read is cut, and nothing runs twice.
+        Callers move to the other instances, as behind a load balancer.
         """
-        run = await self._open(62, _ROLL)
-        asking = [
+        run = await self._open(62, _ROLLING_STOP_SIZES)
+        calling = [
             asyncio.ensure_future(callers.call_on(run, self.session, n))
-            for n in range(_ROLL.callers)
+            for n in range(_ROLLING_STOP_SIZES.callers)
         ]
         for front in run.fronts:
             front.signal(signal.SIGTERM)
             await asyncio.sleep(1.5)
         await asyncio.sleep(3.0)
         run.stopping = True
-        await asyncio.gather(*asking)
+        await asyncio.gather(*calling)
         await asyncio.sleep(0.7)
         self.assertEqual(checks.check(run), [])
         cut = [g.id for g in run.got if not g.whole and g.status]
--- a/copperloom/tests/test_schedules.py
+++ b/copperloom/tests/test_schedules.py
@@ -1,4 +1,4 @@
-"""The schedules of the soak: the same seed draws the same, and they run."""
+"""Tests the fault schedules of the soak test."""
 
 import asyncio
 import unittest
@@ -8,11 +8,11 @@
 
 
 class SchedulesTest(unittest.TestCase):
-    def test_same_seed_draws_the_same(self):
+    def test_same_seed_draws_the_same_schedule(self):
         self.assertEqual(schedules.draw("1/5"), schedules.draw("1/5"))
         self.assertNotEqual(schedules.draw("1/5"), schedules.draw("1/6"))
 
-    def test_all_faults_are_drawn(self):
+    def test_all_kinds_of_faults_are_drawn(self):
         drawn = {
             step.kind
             for number in range(200)
@@ -20,8 +20,8 @@
         }
         self.assertEqual(drawn, set(faults.FAULTS))
 
-    def test_one_schedule_runs_and_breaks_no_promise(self):
-        """An entry is killed while a way loses bytes and writes get lost."""
+    def test_schedule_breaks_no_guarantee(self):
+        """Guards against broken guarantees under several faults at once."""
         schedule = schedules.Schedule(
             "ci",
             (
--- a/copperloom/tests/test_settings.py
+++ b/copperloom/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings reader."""
+"""Tests the settings reader."""
 
 import pathlib
 import tempfile
@@ -7,7 +7,7 @@
 from copperloom import exception, settings
 from copperloom.daemons import options
 
-_GOOD = "[entry]\ninstance = e1\n[platform]\naddress = 127.0.0.1:9\n"
+_VALID_TEXT = "[entry]\ninstance = e1\n[platform]\naddress = 127.0.0.1:9\n"
 
 
 def load_text(case: unittest.TestCase, text: str) -> options.EntrySettings:
@@ -19,53 +19,58 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def check_error(self, text: str, *words: str) -> None:
+    def assert_error(self, text: str, *words: str) -> None:
         with self.assertRaises(exception.SettingsError) as caught:
             load_text(self, text)
         for word in words:
             self.assertIn(word, str(caught.exception))
 
     def test_defaults(self):
-        got = load_text(self, _GOOD)
-        self.assertEqual(got.entry.instance, "e1")
-        self.assertEqual(got.platform.timeout_s, 2.0)
+        loaded = load_text(self, _VALID_TEXT)
+        self.assertEqual(loaded.entry.instance, "e1")
+        self.assertEqual(loaded.platform.timeout_s, 2.0)
 
     def test_unknown_key(self):
-        self.check_error(
-            _GOOD + "[limits]\nbody = 3\n", "entry.ini", "[limits]", "body"
+        self.assert_error(
+            _VALID_TEXT + "[limits]\nbody = 3\n",
+            "entry.ini",
+            "[limits]",
+            "body",
         )
 
     def test_unknown_section(self):
-        self.check_error(_GOOD + "[limit]\n", "[limit]", "unknown section")
+        self.assert_error(
+            _VALID_TEXT + "[limit]\n", "[limit]", "unknown section"
+        )
 
     def test_out_of_range(self):
-        self.check_error(
-            _GOOD + "[limits]\nbody_bytes = 3\n", "body_bytes", "below"
+        self.assert_error(
+            _VALID_TEXT + "[limits]\nbody_bytes = 3\n", "body_bytes", "below"
         )
 
     def test_not_a_number(self):
-        self.check_error(
-            _GOOD + "[limits]\nbody_bytes = x\n", "body_bytes", "[limits]"
+        self.assert_error(
+            _VALID_TEXT + "[limits]\nbody_bytes = x\n", "body_bytes", "[limits]"
         )
 
     def test_not_finite(self):
-        self.check_error(
-            _GOOD + "[membership]\ndead_s = nan\n", "dead_s", "finite"
+        self.assert_error(
+            _VALID_TEXT + "[membership]\ndead_s = nan\n", "dead_s", "finite"
         )
 
-    def test_address(self):
-        for bad in ("1", "localhost:80", "1.2.3.4:99999", "1.2.3.4:-1"):
-            with self.subTest(bad):
-                self.check_error(
-                    f"[entry]\ninstance = a\nlisten = {bad}\n"
+    def test_invalid_address(self):
+        for address in ("1", "localhost:80", "1.2.3.4:99999", "1.2.3.4:-1"):
+            with self.subTest(address):
+                self.assert_error(
+                    f"[entry]\ninstance = a\nlisten = {address}\n"
                     "[platform]\naddress = 127.0.0.1:9\n",
                     "listen",
                     "IP:port",
                 )
 
-    def test_missing(self):
-        self.check_error("[entry]\ninstance = a\n", "address", "must be set")
+    def test_missing_required_key(self):
+        self.assert_error("[entry]\ninstance = a\n", "address", "must be set")
 
-    def test_explain_names_unit_and_range(self):
+    def test_explain_shows_unit_and_range(self):
         text = settings.explain(options.EntrySettings)
         self.assertIn("# Largest body. (unit: bytes; range: 1000", text)
