--- a/copperloom/experiments/arrivals.py
+++ b/copperloom/experiments/arrivals.py
@@ -1,7 +1,8 @@
-"""Open-loop arrivals of a mix: the same seed gives the same list.
+"""Open-loop arrivals of a mix, reproducible by seed.
 
-Requests come as a Poisson process whatever the answers do, so that a slow
-system meets its full load. Prompt lengths are log-uniform within their group.
+Requests arrive as a Poisson process, independently of the answers, so that a
+slow system still receives the full load. Prompt lengths are log-uniform within
+their group.
 """
 
 import dataclasses
@@ -31,14 +32,16 @@
     """One request to send.
 
     Attributes:
-        index: Its place in the whole list; also kept when others are left out.
-        at_s: When it comes, in seconds from the start.
-        organisation: Who sends it.
+        index: Its position in the whole list; unchanged when other requests
+            are removed from the list.
+        at_s: Arrival time in seconds from the start of the run.
+        organisation: Name of the sender.
         group: "short", "middle", "long" or "service".
         prompt_tokens: Length of the prompt; 0 for a service call.
         answer_tokens: Length of the answer; 0 for a service call.
-        prefix: Which of the organisation's starts it has; -1 for none.
-        key: Idempotency key; "" if it may be repeated.
+        prefix: Index of the organisation's shared prefix that its prompt
+            starts with; -1 for none.
+        key: Idempotency key; "" if the request may be repeated.
     """
 
     index: int
@@ -52,29 +55,29 @@
 
 
 def arrivals(mix: mixes.LoadSettings, *, seed: int) -> list[Arrival]:
-    """Draws all requests of a run.
+    """Returns all requests of a run, drawn at random.
 
     Args:
         mix: The mix.
-        seed: Seed of everything random; it also marks the keys.
+        seed: Seed of the generator; also part of the idempotency keys.
 
     Returns:
-        The requests in the order of their times.
+        The requests in order of arrival.
     """
     rng = random.Random(seed)
     names = mixes.organisation_names(mix)
     weights = _organisation_weights(mix.organisations)
-    out = []
+    requests = []
     at_s = rng.expovariate(mix.load.rate_per_s)
     while at_s < mix.load.duration_s:
         name = rng.choices(names, weights)[0]
-        out.append(_draw(rng, mix, len(out), at_s, name, seed))
+        requests.append(_draw(rng, mix, len(requests), at_s, name, seed))
         at_s += rng.expovariate(mix.load.rate_per_s)
-    return out
+    return requests
 
 
 def without_long(requests: list[Arrival]) -> list[Arrival]:
-    """Leaves out the long prompts; the rest stays as it was."""
+    """Returns the requests without the long prompts, otherwise unchanged."""
     return [a for a in requests if a.group != LONG]
 
 
@@ -98,33 +101,38 @@
     organisation: str,
     seed: int,
 ) -> Arrival:
-    # Every request takes the same number of draws, so that a change of one
-    # share leaves the other requests as they were.
-    service, group, length, once, prefix, which = (
-        rng.random() for _ in range(6)
-    )
+    # Every request uses the same number of draws, so that changing one share
+    # leaves the other requests unchanged.
+    (
+        service_draw,
+        group_draw,
+        length_draw,
+        once_draw,
+        prefix_draw,
+        choice_draw,
+    ) = (rng.random() for _ in range(6))
     key = f"{mix.load.name}-{seed}-{index}"
-    if service < mix.services.share:
-        key = key if once < mix.services.once_share else ""
+    if service_draw < mix.services.share:
+        key = key if once_draw < mix.services.once_share else ""
         return Arrival(index, at_s, organisation, SERVICE, 0, 0, key=key)
-    name, section = _group(mix, group)
-    prompt_tokens = _log_uniform(length, section)
-    chosen = int(which * mix.load.prefixes)
-    has_prefix = prefix < mix.load.prefix_share
-    has_key = name == LONG and once < mix.long.once_share
+    group, section = _choose_group(mix, group_draw)
+    prompt_tokens = _log_uniform(length_draw, section)
+    prefix = int(choice_draw * mix.load.prefixes)
+    has_prefix = prefix_draw < mix.load.prefix_share
+    has_key = group == LONG and once_draw < mix.long.once_share
     return Arrival(
         index,
         at_s,
         organisation,
-        name,
+        group,
         prompt_tokens,
         section.answer_tokens,
-        prefix=chosen if has_prefix else -1,
+        prefix=prefix if has_prefix else -1,
         key=key if has_key else "",
     )
 
 
-def _group(mix: mixes.LoadSettings, draw: float):
+def _choose_group(mix: mixes.LoadSettings, draw: float):
     total = mix.short.share + mix.middle.share + mix.long.share
     draw *= total
     if draw < mix.long.share:
--- a/copperloom/experiments/load.py
+++ b/copperloom/experiments/load.py
@@ -1,4 +1,4 @@
-"""Offers a mix to running entries and writes what became of it.
+"""Sends a load mix to running entries and records the outcomes.
 
 Usage:
   copperloom-load run MIX [--seed=N] [--without-long] [--policy=LABEL]
@@ -17,8 +17,8 @@
   --standins       The engines are stand-ins: check each answer's text.
   --output=FILE    Where to write the result as JSON.
 
-`slowdown` offers the mix twice, with and without its long prompts.
-Exit status 1 means that a request was lost or got a wrong answer.
+`slowdown` sends the mix twice, with and without its long prompts. The exit
+status is 1 if a request was lost or got a wrong answer.
 """
 
 import asyncio
@@ -40,11 +40,11 @@
 )
 from copperloom.standins import answers
 
-__all__ = ["counted", "expected_of_standins", "main", "offer"]
+__all__ = ["exclude_warm_up", "expected_of_standins", "main", "offer"]
 
 
 async def offer(
-    settings_: mixes.LoadSettings,
+    mix: mixes.LoadSettings,
     entries: list[str],
     *,
     seed: int,
@@ -52,56 +52,59 @@
     policy: str = "copperloom",
     expected: client.Expected | None = None,
 ) -> result.Result:
-    """Offers one run of a mix to entries.
+    """Sends one run of a mix to entries and returns its result.
 
     Args:
-        settings_: The mix.
+        mix: The mix.
         entries: Addresses of entries.
         seed: Seed of the arrivals.
         long: Whether the long prompts are sent.
         policy: Label for the result.
-        expected: Gives the answer to expect; None takes any that ended well.
+        expected: Returns the expected answer; if None, any complete answer
+            is accepted.
     """
-    requests = arrivals.arrivals(settings_, seed=seed)
+    requests = arrivals.arrivals(mix, seed=seed)
     if not long:
         requests = arrivals.without_long(requests)
-    samples = await client.run(settings_, requests, entries, expected=expected)
+    samples = await client.run(mix, requests, entries, expected=expected)
     return result.Result(
-        settings_.load.name,
+        mix.load.name,
         policy,
         seed,
         long,
-        settings_.load.duration_s - settings_.load.warm_up_s,
-        counted(settings_, requests, samples),
+        mix.load.duration_s - mix.load.warm_up_s,
+        exclude_warm_up(mix, requests, samples),
     )
 
 
-def counted(
-    settings_: mixes.LoadSettings,
+def exclude_warm_up(
+    mix: mixes.LoadSettings,
     requests: list[arrivals.Arrival],
     samples: list[result.Sample],
 ) -> list[result.Sample]:
-    """Leaves out what arrived during the warm-up, but never a lost request.
+    """Returns the samples without the warm-up, except for failed ones.
+
+    A lost request or a wrong answer counts whenever it occurs.
 
     Args:
-        settings_: The mix.
-        requests: What was sent.
-        samples: What became of each, in the same order.
+        mix: The mix.
+        requests: The requests that were sent.
+        samples: The outcome of each request, in the same order.
     """
     return [
         sample
         for arrival, sample in zip(requests, samples, strict=True)
-        if arrival.at_s >= settings_.load.warm_up_s or sample.code < 0
+        if arrival.at_s >= mix.load.warm_up_s or sample.code < 0
     ]
 
 
-def expected_of_standins(settings_: mixes.LoadSettings) -> client.Expected:
-    """Returns a function that works out the engine stand-in's answers."""
+def expected_of_standins(mix: mixes.LoadSettings) -> client.Expected:
+    """Returns a function that computes the answers of engine stand-ins."""
 
     def expected(arrival: arrivals.Arrival, messages: bytes) -> str:
         return answers.whole(
             arrival.organisation,
-            settings_.load.deployment,
+            mix.load.deployment,
             messages,
             arrival.answer_tokens,
         )
@@ -131,39 +134,39 @@
         report.write([result.read(f) for f in args["FILE"]], args["HTML"])
         return 0
     if args["show"]:
-        return _show(result.read(args["FILE"][0]))
-    return _offer_command(args)
+        return _print_result(result.read(args["FILE"][0]))
+    return _send_load(args)
 
 
-def _offer_command(args: dict) -> int:
-    mix_ = settings.load_or_exit(args["MIX"], mixes.LoadSettings)
-    if not mix_.load.entries:
+def _send_load(args: dict) -> int:
+    mix = settings.load_or_exit(args["MIX"], mixes.LoadSettings)
+    if not mix.load.entries:
         error = exception.SettingsError(f"{args['MIX']} [load] entries: empty")
         print(f"error {error.code}: {error}", file=sys.stderr)
         return settings.EXIT_BAD_SETTINGS
     run = functools.partial(
         offer,
-        mix_,
-        list(mix_.load.entries),
+        mix,
+        list(mix.load.entries),
         seed=int(args["--seed"]),
         policy=args["--policy"],
-        expected=expected_of_standins(mix_) if args["--standins"] else None,
+        expected=expected_of_standins(mix) if args["--standins"] else None,
     )
     res = asyncio.run(run(long=not args["--without-long"]))
     if args["slowdown"]:
-        _show_slowdown(res, asyncio.run(run(long=False)))
+        _print_slowdown(res, asyncio.run(run(long=False)))
     if args["--output"]:
         result.write(res, args["--output"])
-    return _show(res)
+    return _print_result(res)
 
 
-def _show_slowdown(mixed: result.Result, alone: result.Result) -> None:
+def _print_slowdown(mixed: result.Result, alone: result.Result) -> None:
     slow = compare.slowdown(mixed, alone)
     for name, value in dataclasses.asdict(slow).items():
         print(f"slowdown of short prompts, {name}: {value:.4g}")
 
 
-def _show(res: result.Result) -> int:
+def _print_result(res: result.Result) -> int:
     summary = result.summarise(res)
     print("\n".join(compare.figures(summary)))
     for sample in res.samples:
--- a/copperloom/experiments/mixes.py
+++ b/copperloom/experiments/mixes.py
@@ -1,4 +1,4 @@
-"""Workload mixes and experiments as INI settings; see docs/LOAD.md."""
+"""Settings of load mixes and of the systems they are sent to."""
 
 import dataclasses
 
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadSection:
-    """What is sent, where to and for how long."""
+    """The load as a whole: rate, duration, time limits and prefixes."""
 
     name: str = setting("", "Name of the mix in results.", required=True)
     entries: tuple[str, ...] = setting(
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class OrganisationsSection:
-    """Who sends."""
+    """The organisations that send requests."""
 
     count: int = setting(10, "Organisations.", low=1, high=100_000)
     large: int = setting(3, "How many of them are large.", low=0, high=100_000)
@@ -116,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServicesSection:
-    """Calls to plain services."""
+    """Calls to plain services, which run no model."""
 
     share: float = setting(0.1, "Share of all requests.", low=0, high=1)
     name: str = setting("frames", "Name of the service.")
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class NetworkSection:
-    """Delays, one way."""
+    """Simulated one-way network delays."""
 
     client_ms: float = setting(
         1.0, "Between clients and entries.", unit="ms", low=0, high=10_000
@@ -139,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClusterSection:
-    """What a trial starts to send to."""
+    """The system that a trial starts and sends its load to."""
 
     entries: int = setting(3, "Entries.", low=1, high=100)
     engines: int = setting(5, "Model engines.", low=1, high=100)
@@ -173,10 +173,10 @@
 
 
 def organisation_names(mix: LoadSettings) -> list[str]:
-    """Returns the organisations of a mix, the large ones first."""
+    """Returns the names of a mix's organisations, large ones first."""
     return [f"org-{i:02d}" for i in range(mix.organisations.count)]
 
 
 def organisation_token(name: str) -> str:
-    """Returns the bearer token that an organisation's callers show."""
+    """Returns the bearer token of an organisation's callers."""
     return f"token-{name}"
--- a/copperloom/experiments/plan.py
+++ b/copperloom/experiments/plan.py
@@ -1,7 +1,7 @@
-"""What a trial is made of: settings of each process, and the configuration.
+"""Settings of the processes of a trial, and its configuration.
 
-The same plan serves a cluster in one process (`copperloom.experiments.
-cluster`) and one of real processes.
+They serve both a cluster within one process (see
+`copperloom.experiments.cluster`) and one of several processes.
 """
 
 import dataclasses
@@ -28,12 +28,12 @@
 MODEL = "model-a"
 ORDINARY = "ordinary"
 PEAK = "peak"
-# An owner grants no memory for this long after it starts, so that trials are
-# short; the entries' default is longer.
+# Shorter than the default of the entries, because an owner grants no memory for
+# this duration after it starts.
 _RESERVATION_S = 2.0
 _LOAD_POLLS_PER_S = 50
-# From the start of the entries until their owners have opened: that time, a
-# step of the owners' controller and the engines' own account.
+# Time from the start of the entries until their owners grant memory. It also
+# covers a step of the owners' controller and the engines' load reports.
 WARM_UP_S = 2 * _RESERVATION_S
 
 _Program = TypeVar("_Program")
@@ -42,18 +42,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Variant:
-    """What is tried.
+    """A policy and the mechanisms that a trial switches off.
 
     Attributes:
-        policy: Policy of the entries.
-        disable: Mechanisms that are switched off.
+        policy: Name of the entries' policy.
+        disable: Names of the mechanisms that are switched off.
     """
 
     policy: str = "copperloom"
     disable: tuple[str, ...] = ()
 
     def label(self) -> str:
-        """Returns a name for tables."""
+        """Returns the name of the variant in tables."""
         return " ".join([self.policy, *(f"-{name}" for name in self.disable)])
 
 
@@ -69,9 +69,9 @@
 
     Args:
         mix: The mix.
-        index: Which entry.
+        index: Number of the entry.
         platform: The platform's address.
-        variant: What is tried.
+        variant: Policy and mechanisms of the entry.
     """
     return {
         "entry": {
@@ -85,7 +85,7 @@
         "limits": {"bytes_per_token": mix.load.bytes_per_token},
         "targets": {
             "reservation_s": _RESERVATION_S,
-            # Engines that run faster than real ones need younger reports.
+            # Load reports of engines with scaled time go stale sooner.
             "load_polls_per_s": _LOAD_POLLS_PER_S,
         },
         "decisions": {"policy": variant.policy, "disable": variant.disable},
@@ -110,11 +110,15 @@
 
 
 def make_settings(program: type[_Program], sections: Sections) -> _Program:
-    """Makes settings of values in place of a file; the rest are defaults."""
+    """Builds settings from values instead of a file; others are defaults.
+
+    Raises:
+        ValueError: A section is not part of the program's settings.
+    """
     fields = dataclasses.fields(program)
     unknown = sections.keys() - {f.name for f in fields}
     if unknown:
-        raise ValueError(f"unknown sections {sorted(unknown)}")
+        raise ValueError(f"unknown settings sections {sorted(unknown)}")
     return program(
         **{f.name: f.type(**sections.get(f.name, {})) for f in fields}
     )
@@ -131,28 +135,28 @@
         services: Addresses of the services.
     """
     kinds = configuration.TargetKind
-    limit_s = mix.load.time_limit_s
-    out: list[configuration.Entity] = [
+    time_limit_s = mix.load.time_limit_s
+    items: list[configuration.Entity] = [
         configuration.Organisation(name, _digest(name))
         for name in mixes.organisation_names(mix)
     ]
-    out += [
+    items += [
         configuration.Deployment(
-            mix.load.deployment, model=MODEL, time_limit_s=limit_s
+            mix.load.deployment, model=MODEL, time_limit_s=time_limit_s
         ),
         configuration.Deployment(
-            mix.services.name, kinds.SERVICE, time_limit_s=limit_s
+            mix.services.name, kinds.SERVICE, time_limit_s=time_limit_s
         ),
         configuration.Preset(ORDINARY),
         configuration.Preset(PEAK, objective="slowdown", max_queue_wait_s=20.0),
         configuration.PresetInForce(ORDINARY),
     ]
     for index, address in enumerate(engines):
-        out.append(_target(mix, kinds.ENGINE, index, address, MODEL))
+        items.append(_target(mix, kinds.ENGINE, index, address, MODEL))
     for index, address in enumerate(services):
         name = mix.services.name
-        out.append(_target(mix, kinds.SERVICE, index, address, name))
-    return out
+        items.append(_target(mix, kinds.SERVICE, index, address, name))
+    return items
 
 
 def _target(
--- a/copperloom/experiments/tests/__init__.py
+++ b/copperloom/experiments/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of copperloom.experiments."""
+"""Tests of the load and experiment tools."""
