--- a/copperloom/experiments/client.py
+++ b/copperloom/experiments/client.py
@@ -1,7 +1,7 @@
-"""An open-loop client of the callers' interface.
+"""An open-loop HTTP client of the callers' interface.
 
-It sends each request at its planned time whatever became of the others, reads
-the answer piece by piece, and checks that it is whole and the caller's own.
+It sends each request at its planned time regardless of the others, reads the
+streamed answer, and checks that it is complete and belongs to the request.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 _FILLER_WORD = b"lounge "
 _MS = 1e-3
 _TAG_BYTES = 4
-_HEAD = b'[{"role":"user","content":"'
-_TAIL = b'"}]'
+_MESSAGES_HEAD = b'[{"role":"user","content":"'
+_MESSAGES_TAIL = b'"}]'
 
 
-# Gives the whole answer to expect for a request and its raw messages; None
-# where answers can't be known beforehand, as with real engines.
+# Returns the expected answer for a request and its raw messages. Real engines
+# have no such function, since their answers are not known in advance.
 Expected = Callable[[arrivals.Arrival, bytes], str]
 
 
@@ -37,18 +37,19 @@
     *,
     expected: Expected | None = None,
 ) -> list[result.Sample]:
-    """Sends requests at their times, to the entries in turn.
+    """Sends requests at their planned times, to the entries in turn.
 
     Args:
         mix: The mix.
-        requests: What to send.
-        entries: Addresses of entries; the platform's balancer is taken to
-            deal connections out evenly.
-        expected: Gives the answer to expect; None takes any that ended well.
+        requests: The requests to send, in order of arrival.
+        entries: Addresses of entries; round robin stands for a load balancer
+            that distributes connections evenly.
+        expected: Returns the expected answer; if None, any complete answer
+            is accepted.
 
     Returns:
-        One sample for each request; each has an outcome within its time
-        limit and the mix's grace, LOST if there was none.
+        One sample for each request. Its outcome is LOST if there was none
+        within the time limit and the mix's grace period.
     """
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None)
@@ -63,21 +64,25 @@
             planned = start + arrival.at_s
             await asyncio.sleep(planned - time.monotonic())
             entry = entries[arrival.index % len(entries)]
-            one = send(
+            sending = send(
                 session,
                 mix,
-                _tagged(arrival, tag),
+                _with_unique_key(arrival, tag),
                 entry,
                 filler,
                 planned,
                 expected=expected,
             )
-            tasks.append(asyncio.create_task(one))
+            tasks.append(asyncio.create_task(sending))
         return list(await asyncio.gather(*tasks))
 
 
-def _tagged(arrival: arrivals.Arrival, tag: str) -> arrivals.Arrival:
-    """Makes the key one of this run: another run of the seed is no repeat."""
+def _with_unique_key(arrival: arrivals.Arrival, tag: str) -> arrivals.Arrival:
+    """Returns the request with an idempotency key unique to this run.
+
+    Otherwise entries would answer a second run of the same seed from the
+    records of the first.
+    """
     if not arrival.key:
         return arrival
     return dataclasses.replace(arrival, key=f"{arrival.key}-{tag}")
@@ -93,28 +98,32 @@
     *,
     expected: Expected | None = None,
 ) -> result.Sample:
-    """Sends one request and returns what became of it.
+    """Sends one request and returns its outcome.
 
     Args:
         session: The HTTP client.
         mix: The mix.
         arrival: The request.
         entry: The entry's address.
-        filler: Text to cut the prompt from.
-        planned: Monotonic time that its times count from.
-        expected: Gives the answer to expect; None takes any that ended well.
+        filler: Text that fills the prompt up to its length.
+        planned: Monotonic time of the planned arrival, from which all times
+            of the sample count.
+        expected: Returns the expected answer; if None, any complete answer
+            is accepted.
     """
     delay_s = mix.network.client_ms * _MS
     await asyncio.sleep(delay_s)
-    limit_s = mix.load.time_limit_s + mix.load.grace_s
+    timeout_s = mix.load.time_limit_s + mix.load.grace_s
     exchange = _Exchange(mix, arrival, entry, planned, delay_s)
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             if arrival.group == arrivals.SERVICE:
                 return await _call_service(session, exchange)
-            return await _ask_engine(session, exchange, filler, expected)
+            return await _call_engine(session, exchange, filler, expected)
     except TimeoutError:
-        return exchange.sample(result.LOST, problem="no outcome in time")
+        return exchange.sample(
+            result.LOST, problem="no outcome within time limit and grace"
+        )
     except (aiohttp.ClientError, OSError) as error:
         return exchange.sample(result.LOST, problem=repr(error))
     except msgspec.MsgspecError as error:
@@ -122,7 +131,7 @@
 
 
 class _Exchange:
-    """One request on its way, for filling in its sample."""
+    """A request in flight, which builds its sample."""
 
     def __init__(self, mix, arrival, entry, planned, delay_s):
         self.mix = mix
@@ -133,7 +142,6 @@
         self.request = ""
 
     def headers(self) -> dict[str, str]:
-        """Returns the request's headers."""
         token = mixes.organisation_token(self.arrival.organisation)
         headers = {
             "Authorization": f"Bearer {token}",
@@ -145,13 +153,16 @@
             headers["X-Copperloom-Not-Repeatable"] = "true"
         return headers
 
-    def since(self, moment: float) -> float:
-        """Returns the caller's time from the planned arrival to a moment."""
-        return moment - self.planned + self.delay_s
+    def elapsed_s(self, event_at: float) -> float:
+        """Returns the seconds from the planned arrival to an event.
+
+        The network delay from the entry to the caller is added.
+        """
+        return event_at - self.planned + self.delay_s
 
     def sample(self, code: int, **values) -> result.Sample:
-        """Returns the sample with the outcome at the present moment."""
-        values.setdefault("total_s", self.since(time.monotonic()))
+        """Returns the sample of an outcome that occurs now."""
+        values.setdefault("total_s", self.elapsed_s(time.monotonic()))
         return result.Sample(
             self.arrival.index,
             self.arrival.group,
@@ -177,12 +188,12 @@
         exchange.request = response.headers.get("X-Copperloom-Request", "")
         data = await response.read()
         if response.status >= 400:
-            return _refused(exchange, data)
-        first_s = exchange.since(time.monotonic())
+            return _refusal_sample(exchange, data)
+        first_s = exchange.elapsed_s(time.monotonic())
         return exchange.sample(result.OK, first_s=first_s, total_s=first_s)
 
 
-async def _ask_engine(
+async def _call_engine(
     session: aiohttp.ClientSession,
     exchange: _Exchange,
     filler: bytes,
@@ -190,20 +201,20 @@
 ) -> result.Sample:
     url = f"http://{exchange.entry}/v1/chat/completions"
     messages = _messages(exchange.mix, exchange.arrival, filler)
-    wanted = expected(exchange.arrival, messages) if expected else None
+    expected_text = expected(exchange.arrival, messages) if expected else None
     body = _body(exchange.mix, exchange.arrival, messages)
     async with session.post(
         url, data=body, headers=exchange.headers()
     ) as response:
         exchange.request = response.headers.get("X-Copperloom-Request", "")
         if response.status >= 400:
-            return _refused(exchange, await response.read())
-        got = sse.Answer()
-        await sse.read(response, got)
-    return _judge(exchange, got, wanted)
+            return _refusal_sample(exchange, await response.read())
+        answer = sse.Answer()
+        await sse.read(response, answer)
+    return _check_answer(exchange, answer, expected_text)
 
 
-def _refused(exchange: _Exchange, data: bytes) -> result.Sample:
+def _refusal_sample(exchange: _Exchange, data: bytes) -> result.Sample:
     error = sse.decode_error(data)
     return _error_sample(exchange, error)
 
@@ -212,35 +223,35 @@
     exchange: _Exchange, error: sse.Error, **values
 ) -> result.Sample:
     if error.code <= 0 or error.run not in set(exception.Run):
-        return exchange.sample(result.LOST, problem=f"bad error {error}")
+        return exchange.sample(result.LOST, problem=f"malformed error: {error}")
     return exchange.sample(
         error.code, run=error.run, problem=error.message, **values
     )
 
 
-def _judge(
-    exchange: _Exchange, answer: sse.Answer, wanted: str | None
+def _check_answer(
+    exchange: _Exchange, answer: sse.Answer, expected_text: str | None
 ) -> result.Sample:
-    first_s = exchange.since(answer.first) if answer.first else 0.0
+    first_s = exchange.elapsed_s(answer.first_at) if answer.first_at else 0.0
     values = {"first_s": first_s, "gap_s": answer.gap_s}
     if answer.error is not None:
         return _error_sample(exchange, answer.error, **values)
-    if not answer.done or not answer.finish:
-        problem = "the answer broke off without a code"
+    if not answer.done or not answer.finish_reason:
+        problem = "the answer ended early without an error code"
         return exchange.sample(result.LOST, problem=problem, **values)
-    problem = _problem(answer, wanted)
+    problem = _find_problem(answer, expected_text)
     code = result.WRONG if problem else result.OK
     return exchange.sample(code, problem=problem, **values)
 
 
-def _problem(answer: sse.Answer, wanted: str | None) -> str:
-    text = "".join(answer.text)
+def _find_problem(answer: sse.Answer, expected_text: str | None) -> str:
+    text = "".join(answer.pieces)
     if len(answer.ids) > 1:
-        return "chunks of several answers"
+        return "chunks with the ids of several answers"
     if not text:
         return "empty answer"
-    if wanted is not None and text != wanted:
-        return f"{text[:40]!r}... in place of {wanted[:40]!r}..."
+    if expected_text is not None and text != expected_text:
+        return f"{text[:40]!r}... instead of {expected_text[:40]!r}..."
     return ""
 
 
@@ -253,16 +264,20 @@
 def _messages(
     mix: mixes.LoadSettings, arrival: arrivals.Arrival, filler: bytes
 ) -> bytes:
-    """Returns the raw messages of a prompt of the wanted length."""
-    start = b""
+    """Returns the raw JSON of messages that have the prompt's length."""
+    opening = b""
     if arrival.prefix >= 0:
-        mark = f"{arrival.organisation} start {arrival.prefix} ".encode()
+        unit = f"{arrival.organisation} start {arrival.prefix} ".encode()
         length = int(mix.load.prefix_tokens * mix.load.bytes_per_token)
-        start = (mark * (length // len(mark) + 1))[:length]
-    start += f"request {arrival.index} ".encode()
+        opening = (unit * (length // len(unit) + 1))[:length]
+    opening += f"request {arrival.index} ".encode()
     size = int(arrival.prompt_tokens * mix.load.bytes_per_token)
-    rest = filler[: max(0, size - len(start) - len(_HEAD) - len(_TAIL))]
-    return b"".join((_HEAD, start, rest, _TAIL))
+    filling = filler[
+        : max(
+            0, size - len(opening) - len(_MESSAGES_HEAD) - len(_MESSAGES_TAIL)
+        )
+    ]
+    return b"".join((_MESSAGES_HEAD, opening, filling, _MESSAGES_TAIL))
 
 
 def _body(
--- a/copperloom/experiments/compare.py
+++ b/copperloom/experiments/compare.py
@@ -1,4 +1,4 @@
-"""Comparison of two runs, and the slowdown that long prompts cause."""
+"""Comparison of two runs, and the slowdown caused by long prompts."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slowdown:
-    """How much slower short prompts are with long ones about.
+    """The slowdown of short prompts in a run with long prompts.
 
     Attributes:
         p50: Ratio of the median times to first token.
         p99: Ratio of the 99th percentiles.
-        paired_p50: Median of each prompt's own ratio.
-        paired_p99: 99th percentile of each prompt's own ratio.
-        pairs: Prompts answered in both runs.
+        paired_p50: Median of the ratios of single prompts.
+        paired_p99: 99th percentile of the ratios of single prompts.
+        pairs: Number of prompts answered in both runs.
     """
 
     p50: float
@@ -29,25 +29,25 @@
 
 
 def slowdown(mixed: result.Result, alone: result.Result) -> Slowdown:
-    """Compares short prompts with those of the same seed without long ones.
+    """Returns the slowdown between two runs of the same mix and seed.
 
     Args:
         mixed: The run with long prompts.
         alone: The run of the same mix and seed without them.
 
     Raises:
-        ValueError: The runs are not of the same mix and seed.
+        ValueError: The runs differ in mix or seed.
     """
     if (mixed.mix, mixed.seed) != (alone.mix, alone.seed):
-        raise ValueError("the runs are not of the same mix and seed")
-    with_long = _short_firsts(mixed)
-    without = _short_firsts(alone)
+        raise ValueError("the runs differ in mix or seed")
+    mixed_s = _short_first_token_times(mixed)
+    alone_s = _short_first_token_times(alone)
     ratios = [
-        with_long[i] / max(without[i], 1e-6) for i in with_long if i in without
+        mixed_s[i] / max(alone_s[i], 1e-6) for i in mixed_s if i in alone_s
     ]
     return Slowdown(
-        p50=_ratio(with_long, without, 50),
-        p99=_ratio(with_long, without, 99),
+        p50=_ratio(mixed_s, alone_s, 50),
+        p99=_ratio(mixed_s, alone_s, 99),
         paired_p50=result.percentile_s(ratios, 50),
         paired_p99=result.percentile_s(ratios, 99),
         pairs=len(ratios),
@@ -55,25 +55,27 @@
 
 
 def compare(a: result.Result, b: result.Result) -> list[str]:
-    """Returns a table of two runs' figures, with the ratio of B to A."""
-    sums = result.summarise(a), result.summarise(b)
+    """Returns the lines of a table of two runs, with the ratio of B to A."""
+    summaries = result.summarise(a), result.summarise(b)
     lines = [
         f"A: {a.mix} {a.policy} seed {a.seed} long {a.long}",
         f"B: {b.mix} {b.policy} seed {b.seed} long {b.long}",
         f"{'figure':36}{'A':>12}{'B':>12}{'B/A':>8}",
     ]
-    rows = [_figures(s) for s in sums]
+    rows = [_figures_by_name(s) for s in summaries]
     for name in rows[0] | rows[1]:
-        lines.append(_line(name, rows[0].get(name), rows[1].get(name)))
+        lines.append(
+            _comparison_line(name, rows[0].get(name), rows[1].get(name))
+        )
     return lines
 
 
 def figures(summary: result.Summary) -> list[str]:
-    """Returns a table of one run's figures."""
-    return [f"{k:36}{_show(v)}" for k, v in _figures(summary).items()]
+    """Returns the lines of a table of one run."""
+    return [f"{k:36}{_format(v)}" for k, v in _figures_by_name(summary).items()]
 
 
-def _short_firsts(res: result.Result) -> dict[int, float]:
+def _short_first_token_times(res: result.Result) -> dict[int, float]:
     return {
         s.index: s.first_s
         for s in res.samples
@@ -82,20 +84,20 @@
 
 
 def _ratio(a: dict[int, float], b: dict[int, float], percent: float) -> float:
-    lower = result.percentile_s(list(b.values()), percent)
-    return result.percentile_s(list(a.values()), percent) / lower
+    baseline = result.percentile_s(list(b.values()), percent)
+    return result.percentile_s(list(a.values()), percent) / baseline
 
 
-def _figures(summary: result.Summary) -> dict[str, float]:
-    out = {"requests": summary.requests, "lost": summary.lost}
+def _figures_by_name(summary: result.Summary) -> dict[str, float]:
+    values = {"requests": summary.requests, "lost": summary.lost}
     for code, count in sorted(summary.outcomes.items()):
-        out[f"outcome {code}"] = count
+        values[f"outcome {code}"] = count
     for name, value in summary.first_p50_s.items():
-        out[f"first token p50, {name} (s)"] = value
+        values[f"first token p50, {name} (s)"] = value
     for name, value in summary.first_p99_s.items():
-        out[f"first token p99, {name} (s)"] = value
+        values[f"first token p99, {name} (s)"] = value
     for name, value in summary.bucket_p99_s.items():
-        out[f"first token p99, to {name} tokens (s)"] = value
+        values[f"first token p99, to {name} tokens (s)"] = value
     for name in (
         "goodput_tokens_per_s",
         "goodput_requests_per_s",
@@ -104,16 +106,16 @@
         "fairness",
         "worst_organisation",
     ):
-        out[name] = getattr(summary, name)
-    return out
+        values[name] = getattr(summary, name)
+    return values
 
 
-def _line(name: str, a: float | None, b: float | None) -> str:
+def _comparison_line(name: str, a: float | None, b: float | None) -> str:
     ratio = f"{b / a:8.2f}" if a and b else f"{'-':>8}"
-    return f"{name:36}{_show(a)}{_show(b)}{ratio}"
+    return f"{name:36}{_format(a)}{_format(b)}{ratio}"
 
 
-def _show(value: float | None) -> str:
+def _format(value: float | None) -> str:
     if value is None:
         return f"{'-':>12}"
     if isinstance(value, int):
--- a/copperloom/experiments/result.py
+++ b/copperloom/experiments/result.py
@@ -1,7 +1,6 @@
 """Outcomes of a run: samples, their summary, and the JSON file of both.
 
-Percentiles come from hdrhistogram with two significant digits, so that those
-of several seeds can be merged without keeping order.
+Percentiles are those of an HDR histogram with two significant digits.
 """
 
 import collections
@@ -26,12 +25,12 @@
 ]
 
 OK = 0
-# No outcome with a code within the time limit and its grace.
+# No answer and no error code within the time limit and its grace period.
 LOST = -1
-# An answer that ended as if whole but was not the caller's whole answer.
+# An answer that ended normally but is incomplete or not the caller's.
 WRONG = -2
 
-# Upper ends of the prompt lengths that results are broken down by, in tokens.
+# Upper bounds, in tokens, of the prompt lengths that results are grouped by.
 BUCKETS = (4_000, 16_000, 100_000, 400_000, 1_000_000)
 _HOUR_US = 3_600_000_000
 _DIGITS = 2
@@ -40,22 +39,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What became of one request. All times count from its planned arrival.
+    """The outcome of one request.
+
+    All times count from the planned arrival, in seconds.
 
     Attributes:
         index: Its index in the arrivals.
         group: "short", "middle", "long" or "service".
-        organisation: Who sent it.
+        organisation: Name of the sender.
         prompt_tokens: Length of its prompt.
-        answer_tokens: Tokens that it asked for.
-        code: 0 for a whole answer, a result code, or LOST or WRONG.
-        run: What the error said about having run; "" for none.
-        first_s: Time to the first token (or to a service's reply).
+        answer_tokens: Number of tokens requested.
+        code: 0 for a complete answer, an error code, or LOST or WRONG.
+        run: Whether the request had run, as stated by the error; "" if there
+            was no error.
+        first_s: Time to the first token, or to the reply of a service.
         total_s: Time to the outcome.
-        gap_s: Longest wait between two pieces.
-        request: The request id that the entry gave.
-        entry: Address that it was sent to.
-        problem: What was wrong with a lost or wrong one.
+        gap_s: Longest gap between two pieces of the answer.
+        request: Request id that the entry assigned.
+        entry: Address of the entry.
+        problem: Description of an error, a loss or a wrong answer.
     """
 
     index: int
@@ -75,15 +77,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """One run.
+    """The samples of one run.
 
     Attributes:
         mix: Name of the mix.
-        policy: Label of what was tried.
+        policy: Label of the policy under test.
         seed: Seed of the arrivals.
         long: Whether the long prompts were sent.
         duration_s: Time over which requests arrived.
-        samples: One for each request sent.
+        samples: One sample for each request.
     """
 
     mix: str
@@ -96,24 +98,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Summary:
-    """The figures of a run.
+    """The key figures of a run.
 
     Attributes:
-        requests: Requests sent.
-        outcomes: Requests by result code, 0 for whole answers.
-        lost: Requests without an outcome, or with a wrong answer.
-        goodput_tokens_per_s: Prompt and answer tokens of whole answers.
-        goodput_requests_per_s: Whole answers.
+        requests: Number of requests.
+        outcomes: Number of requests by code; 0 for complete answers.
+        lost: Requests without an outcome or with a wrong answer.
+        goodput_tokens_per_s: Prompt and answer tokens of complete answers.
+        goodput_requests_per_s: Complete answers.
         first_p50_s: Median time to first token by group.
         first_p99_s: 99th percentile of the same.
-        bucket_p50_s: Median time to first token by upper prompt length.
+        bucket_p50_s: Median time to first token by bucket of prompt length.
         bucket_p99_s: 99th percentile of the same.
-        gap_p99_s: 99th percentile of the longest wait within an answer.
+        gap_p99_s: 99th percentile of the longest gap within an answer.
         refusal_p99_s: 99th percentile of the time to a refusal.
-        fairness: Jain's index of the organisations' served share of what
-            they asked for, in tokens; 1 is even.
-        worst_organisation: Greatest ratio of an organisation's short-prompt
-            99th percentile to the median organisation's.
+        fairness: Jain's index over the share of each organisation's requested
+            tokens that was served; 1 is perfectly even.
+        worst_organisation: Highest 99th percentile of the time to first token
+            of short prompts over organisations, divided by that of the
+            median organisation.
     """
 
     requests: int
@@ -132,12 +135,12 @@
 
 
 def bucket(prompt_tokens: int) -> int:
-    """Returns the upper end of the range that a prompt length is in."""
+    """Returns the upper bound of the bucket of a prompt length."""
     return next((b for b in BUCKETS if prompt_tokens <= b), BUCKETS[-1])
 
 
 def percentile_s(values: list[float], percentile: float) -> float:
-    """Returns a percentile of times in seconds; nan if there are none."""
+    """Returns a percentile of times in seconds; nan for an empty list."""
     if not values:
         return float("nan")
     hist = histogram.HdrHistogram(1, _HOUR_US, _DIGITS)
@@ -147,19 +150,19 @@
 
 
 def summarise(res: Result) -> Summary:
-    """Works out the figures of a run."""
-    whole = [s for s in res.samples if s.code == OK]
-    prompts = [s for s in whole if s.prompt_tokens]
-    groups = _firsts(whole, lambda s: s.group)
-    buckets = _firsts(prompts, lambda s: bucket(s.prompt_tokens))
+    """Returns the key figures of a run."""
+    completed = [s for s in res.samples if s.code == OK]
+    prompts = [s for s in completed if s.prompt_tokens]
+    groups = _first_token_times(completed, lambda s: s.group)
+    buckets = _first_token_times(prompts, lambda s: bucket(s.prompt_tokens))
     refusals = [s.total_s for s in res.samples if _is_refusal(s)]
-    tokens = sum(s.prompt_tokens + s.answer_tokens for s in whole)
+    tokens = sum(s.prompt_tokens + s.answer_tokens for s in completed)
     return Summary(
         requests=len(res.samples),
         outcomes=dict(collections.Counter(s.code for s in res.samples)),
         lost=sum(s.code in (LOST, WRONG) for s in res.samples),
         goodput_tokens_per_s=tokens / res.duration_s,
-        goodput_requests_per_s=len(whole) / res.duration_s,
+        goodput_requests_per_s=len(completed) / res.duration_s,
         first_p50_s={k: percentile_s(v, 50) for k, v in groups.items()},
         first_p99_s={k: percentile_s(v, 99) for k, v in groups.items()},
         bucket_p50_s={k: percentile_s(v, 50) for k, v in buckets.items()},
@@ -178,7 +181,7 @@
 
 
 def read(path: str) -> Result:
-    """Reads a run.
+    """Reads a run from its JSON file.
 
     Raises:
         msgspec.ValidationError: The file is not the JSON of a run.
@@ -194,21 +197,23 @@
     return sample.code > OK and sample.run == "not_run"
 
 
-def _firsts(samples: list[Sample], name) -> dict:
-    out = collections.defaultdict(list)
+def _first_token_times(samples: list[Sample], key) -> dict:
+    times = collections.defaultdict(list)
     for sample in samples:
-        out[name(sample)].append(sample.first_s)
-    return dict(sorted(out.items()))
+        times[key(sample)].append(sample.first_s)
+    return dict(sorted(times.items()))
 
 
 def _fairness(samples: list[Sample]) -> float:
-    asked = collections.Counter()
+    requested = collections.Counter()
     served = collections.Counter()
     for sample in samples:
         tokens = sample.prompt_tokens + sample.answer_tokens
-        asked[sample.organisation] += tokens
+        requested[sample.organisation] += tokens
         served[sample.organisation] += tokens * (sample.code == OK)
-    shares = [served[name] / asked[name] for name in asked if asked[name]]
+    shares = [
+        served[name] / requested[name] for name in requested if requested[name]
+    ]
     squares = sum(x * x for x in shares)
     if not squares:
         return float("nan")
@@ -217,8 +222,8 @@
 
 def _worst_organisation(prompts: list[Sample]) -> float:
     short = [s for s in prompts if s.group == "short"]
-    firsts = _firsts(short, lambda s: s.organisation)
-    tails = sorted(percentile_s(v, 99) for v in firsts.values())
-    if not tails:
+    by_organisation = _first_token_times(short, lambda s: s.organisation)
+    percentiles = sorted(percentile_s(v, 99) for v in by_organisation.values())
+    if not percentiles:
         return float("nan")
-    return tails[-1] / tails[len(tails) // 2]
+    return percentiles[-1] / percentiles[len(percentiles) // 2]
--- a/copperloom/experiments/sse.py
+++ b/copperloom/experiments/sse.py
@@ -1,4 +1,4 @@
-"""Reading of streamed answers and of coded errors."""
+"""Parsing of streamed answers and of error bodies."""
 
 import dataclasses
 import time
@@ -14,26 +14,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """An answer as it comes in.
+    """An answer that is being received.
 
     Attributes:
-        text: Pieces of text.
-        ids: The ids that its chunks named.
-        finish: Why it ended; "" until then.
-        done: Whether the closing event came.
-        error: A coded error that came within the stream.
-        first: Monotonic time of the first piece; 0 until then.
-        last: Monotonic time of the last piece.
-        gap_s: Longest time between two pieces.
+        pieces: Pieces of text in order.
+        ids: Distinct answer ids of its chunks.
+        finish_reason: Why generation ended; "" until then.
+        done: Whether the closing event was received.
+        error: An error that was sent within the stream, if any.
+        first_at: Monotonic time of the first piece; 0 until then.
+        last_at: Monotonic time of the latest piece.
+        gap_s: Longest gap between two pieces, in seconds.
     """
 
-    text: list[str] = dataclasses.field(default_factory=list)
+    pieces: list[str] = dataclasses.field(default_factory=list)
     ids: set[str] = dataclasses.field(default_factory=set)
-    finish: str = ""
+    finish_reason: str = ""
     done: bool = False
     error: "Error | None" = None
-    first: float = 0.0
-    last: float = 0.0
+    first_at: float = 0.0
+    last_at: float = 0.0
     gap_s: float = 0.0
 
 
@@ -47,7 +47,7 @@
 
 
 class Error(msgspec.Struct):
-    """An error that an entry gave; code 0 if it gave none."""
+    """An error that an entry returned; code 0 stands for a missing code."""
 
     code: int = 0
     message: str = ""
@@ -64,51 +64,52 @@
     error: Error
 
 
-_CHUNKS = msgspec.json.Decoder(_Chunk)
-_ERRORS = msgspec.json.Decoder(_ErrorBody)
+_CHUNK_DECODER = msgspec.json.Decoder(_Chunk)
+_ERROR_DECODER = msgspec.json.Decoder(_ErrorBody)
 
 
 def decode_error(data: bytes) -> Error:
-    """Reads the body of an error.
+    """Returns the error in a response body.
 
     Raises:
-        msgspec.MsgspecError: It is not an error of the callers' interface.
+        msgspec.MsgspecError: The body is not an error of the callers'
+            interface.
     """
-    return _ERRORS.decode(data).error
+    return _ERROR_DECODER.decode(data).error
 
 
 async def read(response: aiohttp.ClientResponse, answer: Answer) -> None:
-    """Reads server-sent events into an answer until the connection ends."""
+    """Adds server-sent events to an answer until the response ends."""
     rest = b""
     async for data in response.content.iter_any():
         now = time.monotonic()
         *lines, rest = (rest + data).split(b"\n")
         for line in lines:
-            _take_line(answer, line, now)
+            _process_line(answer, line, now)
 
 
-def _take_line(answer: Answer, line: bytes, now: float) -> None:
+def _process_line(answer: Answer, line: bytes, now: float) -> None:
     if not line.startswith(_DATA):
         return
     value = line[len(_DATA) :].strip()
     if value == _DONE:
         answer.done = True
         return
-    chunk = _CHUNKS.decode(value)
+    chunk = _CHUNK_DECODER.decode(value)
     answer.error = chunk.error or answer.error
     if chunk.id:
         answer.ids.add(chunk.id)
     for choice in chunk.choices:
-        _take_choice(answer, choice, now)
+        _process_choice(answer, choice, now)
 
 
-def _take_choice(answer: Answer, choice: _Choice, now: float) -> None:
-    answer.finish = choice.finish_reason or answer.finish
+def _process_choice(answer: Answer, choice: _Choice, now: float) -> None:
+    answer.finish_reason = choice.finish_reason or answer.finish_reason
     if choice.delta is None or not choice.delta.content:
         return
-    answer.text.append(choice.delta.content)
-    if not answer.first:
-        answer.first = now
+    answer.pieces.append(choice.delta.content)
+    if not answer.first_at:
+        answer.first_at = now
     else:
-        answer.gap_s = max(answer.gap_s, now - answer.last)
-    answer.last = now
+        answer.gap_s = max(answer.gap_s, now - answer.last_at)
+    answer.last_at = now
--- a/copperloom/experiments/tests/fake.py
+++ b/copperloom/experiments/tests/fake.py
@@ -1,4 +1,4 @@
-"""A tiny fake entry that answers as a test tells it to."""
+"""A fake entry with canned answers."""
 
 import asyncio
 import unittest
@@ -9,23 +9,23 @@
 __all__ = ["start_entry"]
 
 
-def chunk(text: str, finish: str | None = None, name: str = "r1") -> bytes:
+def chunk(text: str, finish: str | None = None, answer_id: str = "r1") -> bytes:
     choice = {"delta": {"content": text}, "finish_reason": finish}
-    value = {"id": name, "choices": [choice]}
+    value = {"id": answer_id, "choices": [choice]}
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
-async def whole(request: web.Request) -> web.StreamResponse:
-    return await stream(request, [chunk("a"), chunk("b", "stop"), DONE])
+async def complete(request: web.Request) -> web.StreamResponse:
+    return await send_stream(request, [chunk("a"), chunk("b", "stop"), DONE])
 
 
-async def cut(request: web.Request) -> web.StreamResponse:
-    return await stream(request, [chunk("a")])
+async def truncate(request: web.Request) -> web.StreamResponse:
+    return await send_stream(request, [chunk("a")])
 
 
-async def crossed(request: web.Request) -> web.StreamResponse:
-    pieces = [chunk("a"), chunk("b", "stop", name="r2"), DONE]
-    return await stream(request, pieces)
+async def mix_answers(request: web.Request) -> web.StreamResponse:
+    pieces = [chunk("a"), chunk("b", "stop", answer_id="r2"), DONE]
+    return await send_stream(request, pieces)
 
 
 async def refuse(request: web.Request) -> web.Response:
@@ -36,7 +36,7 @@
 async def fail_late(request: web.Request) -> web.StreamResponse:
     error = {"code": 4004, "message": "broke", "run": "may_have_run"}
     data = b"data: " + msgspec.json.encode({"error": error}) + b"\n\n"
-    return await stream(request, [chunk("a"), data])
+    return await send_stream(request, [chunk("a"), data])
 
 
 async def hang(request: web.Request) -> web.Response:
@@ -46,7 +46,7 @@
 DONE = b"data: [DONE]\n\n"
 
 
-async def stream(request: web.Request, pieces) -> web.StreamResponse:
+async def send_stream(request: web.Request, pieces) -> web.StreamResponse:
     response = web.StreamResponse(headers={"X-Copperloom-Request": "r1"})
     response.content_type = "text/event-stream"
     await response.prepare(request)
@@ -56,22 +56,27 @@
 
 
 async def start_entry(
-    case: unittest.IsolatedAsyncioTestCase, answer
+    case: unittest.IsolatedAsyncioTestCase, handler
 ) -> tuple[str, list[dict]]:
-    """Starts a fake entry; returns its address and the bodies it got."""
-    seen = []
+    """Starts a fake entry with one handler for all requests.
 
-    async def handle(request: web.Request) -> web.StreamResponse:
+    Returns:
+        Its address, and a list to which each request's headers and body are
+        added.
+    """
+    received = []
+
+    async def record(request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        seen.append({"headers": request.headers, "body": body})
-        return await answer(request)
+        received.append({"headers": request.headers, "body": body})
+        return await handler(request)
 
     app = web.Application(client_max_size=1 << 26)
-    app.router.add_route("*", "/{path:.*}", handle)
+    app.router.add_route("*", "/{path:.*}", record)
     runner = web.AppRunner(app, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
     case.addAsyncCleanup(runner.cleanup)
     host, port = runner.addresses[0]
-    return f"{host}:{port}", seen
+    return f"{host}:{port}", received
--- a/copperloom/experiments/tests/samples.py
+++ b/copperloom/experiments/tests/samples.py
@@ -1,4 +1,4 @@
-"""Mixes, requests and results that the tests share."""
+"""Mixes, requests and results shared by the tests."""
 
 import dataclasses
 
@@ -19,12 +19,19 @@
     return mixes.LoadSettings(**sections)
 
 
-def run_of(firsts: dict[int, float], **changes) -> result.Result:
-    """Returns a run whose short prompts had these times to first token."""
-    one = result.Sample(0, "short", "org-00", 2000, 32, result.OK)
-    values = [
-        dataclasses.replace(one, index=i, first_s=f, total_s=f)
-        for i, f in firsts.items()
+def run_of(first_token_s: dict[int, float], **changes) -> result.Result:
+    """Returns a run of short prompts with given times to first token.
+
+    Args:
+        first_token_s: Times in seconds by request index.
+        **changes: Fields of the result that differ from the defaults.
+    """
+    sample = result.Sample(0, "short", "org-00", 2000, 32, result.OK)
+    run_samples = [
+        dataclasses.replace(
+            sample, index=index, first_s=seconds, total_s=seconds
+        )
+        for index, seconds in first_token_s.items()
     ]
-    res = result.Result("test", "x", 1, True, 10.0, values)
+    res = result.Result("test", "x", 1, True, 10.0, run_samples)
     return dataclasses.replace(res, **changes)
