--- a/copperloom/experiments/cluster.py
+++ b/copperloom/experiments/cluster.py
@@ -1,4 +1,4 @@
-"""A whole system on one event loop in one process, for demo and trials."""
+"""A complete system on one event loop, for the demo and for trials."""
 
 import asyncio
 import dataclasses
@@ -17,23 +17,23 @@
 
 __all__ = ["Cluster", "change", "start", "stop", "wait_version"]
 
-_CALL_S = 5.0
-_READY_S = 15.0
-_POLL_S = 0.02
+_CALL_TIMEOUT_S = 5.0
+_ADOPTION_TIMEOUT_S = 15.0
+_POLL_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass
 class Cluster:
-    """What runs.
+    """A running system.
 
     Attributes:
-        mix: The mix that it was made for.
-        client: The platform's functions, as an operator has them.
+        mix: The mix whose [cluster] section describes it.
+        client: Client of the platform, with the rights of an operator.
         platform: The platform stand-in.
         engines: Engine stand-ins.
         services: Service stand-ins.
         entries: Entries.
-        cfg: The configuration that was last written.
+        cfg: The configuration that was written last.
     """
 
     mix: mixes.LoadSettings
@@ -45,8 +45,8 @@
     cfg: configuration.Configuration = configuration.Configuration()
 
     def addresses(self) -> list[str]:
-        """Returns where the entries listen for callers."""
-        return [one.listen for one in self.entries]
+        """Returns the addresses at which the entries listen for callers."""
+        return [service.listen for service in self.entries]
 
 
 async def start(
@@ -55,115 +55,125 @@
     variant: plan.Variant = plan.Variant(),
     seed: int = 1,
 ) -> Cluster:
-    """Starts platform, targets and entries, and waits until they serve.
+    """Starts the platform, targets and entries, and waits until they serve.
 
     Args:
-        mix: The mix; its [cluster] section tells how many of each.
-        variant: Policy of the entries.
+        mix: The mix; its [cluster] section has the number of each.
+        variant: Policy and mechanisms of the entries.
         seed: Seed of the stand-ins.
     """
-    run = Cluster(mix)
+    system = Cluster(mix)
     try:
-        await _start_standins(run, seed)
-        await change(run, plan.entities(mix, *_targets(run)))
+        await _start_standins(system, seed)
+        await change(system, plan.entities(mix, *_target_addresses(system)))
         for index in range(mix.cluster.entries):
             sections = plan.entry_sections(
-                mix, index, _listen(run.platform), variant
+                mix, index, _address(system.platform), variant
             )
-            own = plan.make_settings(options.EntrySettings, sections)
-            run.entries.append(await entry.start(own))
-        await wait_version(run, run.cfg.version)
+            entry_settings = plan.make_settings(options.EntrySettings, sections)
+            system.entries.append(await entry.start(entry_settings))
+        await wait_version(system, system.cfg.version)
         if mix.cluster.engines:
             await asyncio.sleep(plan.WARM_UP_S)
     except BaseException:
-        await stop(run)
+        await stop(system)
         raise
-    return run
+    return system
 
 
-async def stop(run: Cluster) -> None:
+async def stop(system: Cluster) -> None:
     """Stops everything, the entries first."""
-    await asyncio.gather(*(one.stop() for one in run.entries))
-    if run.client is not None:
-        await run.client.close()
-    standins = [*run.engines, *run.services, run.platform]
-    await asyncio.gather(*(s.close() for s in standins if s is not None))
+    await asyncio.gather(*(service.stop() for service in system.entries))
+    if system.client is not None:
+        await system.client.close()
+    standins = [*system.engines, *system.services, system.platform]
+    await asyncio.gather(
+        *(server.close() for server in standins if server is not None)
+    )
 
 
-async def change(run: Cluster, entities: list[configuration.Entity]) -> float:
-    """Makes one change of the configuration, as an operator would.
+async def change(
+    system: Cluster, entities: list[configuration.Entity]
+) -> float:
+    """Writes one configuration change, as an operator would.
 
     Returns:
         The monotonic time at which the platform confirmed it.
 
     Raises:
-        copperloom.exception.ChangeLostError: Another change came first.
+        copperloom.exception.ChangeLostError: Another change was
+            written first.
     """
-    version = run.cfg.version + 1
+    version = system.cfg.version + 1
     nonce = secrets.token_hex(8)
     puts = tuple(configuration.encode_entity(e) for e in entities)
-    made = configuration.Change(
+    new_change = configuration.Change(
         version, nonce, "experiments", puts, wall_time_s=time.time()
     )
     head = {"version": version, "nonce": nonce}
-    got = await run.client.transact(
+    reply = await system.client.transact(
         [interface.Condition("config/head", version - 1)],
         [
             interface.Write("config/head", head),
             interface.Write(
-                f"config/change/{version:012d}", msgspec.to_builtins(made)
+                f"config/change/{version:012d}", msgspec.to_builtins(new_change)
             ),
             interface.Write(f"audit/{version:012d}", head),
         ],
-        timeout_s=_CALL_S,
+        timeout_s=_CALL_TIMEOUT_S,
     )
-    if not got.committed:
-        raise exception.ChangeLostError(f"version {version} was not made")
-    run.cfg = configuration.apply(run.cfg, made)
+    if not reply.committed:
+        raise exception.ChangeLostError(f"version {version} was not committed")
+    system.cfg = configuration.apply(system.cfg, new_change)
     return time.monotonic()
 
 
-async def wait_version(run: Cluster, version: int) -> list[float]:
-    """Waits until all entries have a version.
+async def wait_version(system: Cluster, version: int) -> list[float]:
+    """Waits until all entries have adopted a configuration version.
 
     Returns:
-        The monotonic time at which each was seen to have it.
+        The monotonic times at which the adoptions were observed.
 
     Raises:
-        TimeoutError: Some did not get it in time.
+        TimeoutError: Some entry did not adopt it within the timeout.
     """
-    seen: dict[int, float] = {}
-    async with asyncio.timeout(_READY_S):
-        while len(seen) < len(run.entries):
-            for index, one in enumerate(run.entries):
-                if index not in seen and one.entry.cfg.version >= version:
-                    seen[index] = time.monotonic()
-            await asyncio.sleep(_POLL_S)
-    return list(seen.values())
-
-
-async def _start_standins(run: Cluster, seed: int) -> None:
-    cluster = run.mix.cluster
-    run.platform = await platform_standin.serve(
+    adopted_at: dict[int, float] = {}
+    async with asyncio.timeout(_ADOPTION_TIMEOUT_S):
+        while len(adopted_at) < len(system.entries):
+            for index, service in enumerate(system.entries):
+                if (
+                    index not in adopted_at
+                    and service.entry.cfg.version >= version
+                ):
+                    adopted_at[index] = time.monotonic()
+            await asyncio.sleep(_POLL_INTERVAL_S)
+    return list(adopted_at.values())
+
+
+async def _start_standins(system: Cluster, seed: int) -> None:
+    cluster = system.mix.cluster
+    system.platform = await platform_standin.serve(
         plan.make_settings(platform_standin.PlatformStandinSettings, {})
     )
-    run.client = platform_http.connect(_listen(run.platform))
+    system.client = platform_http.connect(_address(system.platform))
     for index in range(cluster.engines):
-        sections = plan.engine_sections(run.mix, index, seed)
-        own = plan.make_settings(settings.EngineSettings, sections)
-        run.engines.append(await engine.serve(own))
+        sections = plan.engine_sections(system.mix, index, seed)
+        standin_settings = plan.make_settings(settings.EngineSettings, sections)
+        system.engines.append(await engine.serve(standin_settings))
     for index in range(cluster.services):
         sections = plan.service_sections(index, seed)
-        own = plan.make_settings(settings.ServiceSettings, sections)
-        run.services.append(await service.serve(own))
+        standin_settings = plan.make_settings(
+            settings.ServiceSettings, sections
+        )
+        system.services.append(await service.serve(standin_settings))
 
 
-def _targets(run: Cluster) -> tuple[list[str], list[str]]:
+def _target_addresses(system: Cluster) -> tuple[list[str], list[str]]:
     return (
-        [_listen(one) for one in run.engines],
-        [_listen(one) for one in run.services],
+        [_address(server) for server in system.engines],
+        [_address(server) for server in system.services],
     )
 
 
-def _listen(server) -> str:
+def _address(server) -> str:
     return server.addresses["listen"]
--- a/copperloom/experiments/demo.py
+++ b/copperloom/experiments/demo.py
@@ -1,4 +1,4 @@
-"""copperloom-demo: a whole system in one process, under a short mixed load.
+"""Demonstrates a complete system in one process under a short mixed load.
 
 Usage:
   copperloom-demo [--seed=N] [--seconds=S] [--html=FILE]
@@ -10,11 +10,11 @@
                [default: 10].
   --html=FILE  Also write a page with curves.
 
-Starts entries, a platform, engines and services on loopback and offers the
-same requests twice, without and with the long prompts. In the midst of the
-second run the preset is switched and an engine is retired. Exit status 0
-means that every request got its own whole answer or a numbered error in time,
-that the retired engine got no new work, and that all engine memory came back.
+Starts entries, a platform, engines and services on loopback and sends the
+same requests twice, without and with the long prompts. During the second run
+the preset is switched and an engine is retired. The exit status is 0 if every
+request got its own complete answer or a coded error within its time limit, the
+retired engine got no new work, and all engine memory was released.
 """
 
 import asyncio
@@ -39,39 +39,41 @@
 
 __all__ = ["DemoResult", "main", "problems", "run", "table"]
 
-_LARGEST_TOKENS = 1_000_000
-_SWITCH_AT = 0.35
-_RETIRE_AT = 0.5
-# A leaving target may get new work for this long.
-_LEAVE_S = 3.0
-_MEMORY_S = 10.0
-_POLL_S = 0.1
-_RETIRED = 0
-# Codes below are faults and bad input, from here on refusals and failures.
-_FIRST_REFUSAL_CODE = 3000
+_MAX_PROMPT_TOKENS = 1_000_000
+_SWITCH_SHARE = 0.35
+_RETIRE_SHARE = 0.5
+# A draining target may still get new work for this duration.
+_DRAIN_S = 3.0
+_MEMORY_RELEASE_TIMEOUT_S = 10.0
+_POLL_INTERVAL_S = 0.1
+_RETIRED_ENGINE = 0
+# Lower codes report internal faults and invalid input.
+_MIN_REFUSAL_CODE = 3000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemoResult:
-    """What the demo saw.
+    """The results of a demo.
 
     Attributes:
         alone: The run without long prompts.
         mixed: The run with them.
-        spread_s: Longest time from a change to its being in force everywhere.
-        retired_runs: Work that the retired engine got after its few seconds.
+        adoption_s: Longest time from a configuration change until all entries
+            had adopted it.
+        late_streams: Number of streams that the retired engine got after it
+            had drained.
         kv_left: Engine memory still in use at the end, in tokens.
     """
 
     alone: result.Result
     mixed: result.Result
-    spread_s: float
-    retired_runs: int
+    adoption_s: float
+    late_streams: int
     kv_left: int
 
 
 def demo_mix(seconds: float) -> mixes.LoadSettings:
-    """Returns the demo's mix."""
+    """Returns the demo's mix with requests over a number of seconds."""
     sections = {
         "load": {
             "name": "demo",
@@ -98,39 +100,47 @@
         alone = await _offer(
             system, arrivals.without_long(requests), seed, long=False
         )
-        events = asyncio.create_task(_events(system))
+        changes = asyncio.create_task(_change_configuration(system))
         mixed = await _offer(system, requests, seed, long=True)
-        spread_s, retired_runs = await events
+        adoption_s, late_streams = await changes
         kv_left = await _memory_left(system)
-        return DemoResult(alone, mixed, spread_s, retired_runs, kv_left)
+        return DemoResult(alone, mixed, adoption_s, late_streams, kv_left)
     finally:
         await cluster.stop(system)
 
 
-def problems(seen: DemoResult) -> list[str]:
-    """Lists what broke a promise; empty if nothing did."""
-    out = []
-    for res in (seen.alone, seen.mixed):
+def problems(demo_result: DemoResult) -> list[str]:
+    """Returns a description of each failure of the demo."""
+    found = []
+    for res in (demo_result.alone, demo_result.mixed):
         for sample in res.samples:
             if sample.code < 0:
-                out.append(f"lost {sample.group} request: {sample.problem}")
-            elif 0 < sample.code < _FIRST_REFUSAL_CODE:
-                # All requests are valid, so that this is a fault of ours.
-                out.append(f"code {sample.code}: {sample.problem}")
-    whole = {s.group for s in seen.mixed.samples if s.code == result.OK}
-    for group in sorted({s.group for s in seen.mixed.samples} - whole):
-        out.append(f"no {group} request was answered")
-    if seen.retired_runs:
-        out.append(f"the retired engine got {seen.retired_runs} new streams")
-    if seen.kv_left:
-        out.append(f"{seen.kv_left} tokens of engine memory did not come back")
-    return out
-
-
-def table(seen: DemoResult) -> list[str]:
-    """Returns the summary as lines of text."""
-    mixed = result.summarise(seen.mixed)
-    alone = result.summarise(seen.alone)
+                found.append(f"lost {sample.group} request: {sample.problem}")
+            elif 0 < sample.code < _MIN_REFUSAL_CODE:
+                # All requests are valid, so an input error is a fault here.
+                found.append(f"code {sample.code}: {sample.problem}")
+    answered_groups = {
+        s.group for s in demo_result.mixed.samples if s.code == result.OK
+    }
+    for group in sorted(
+        {s.group for s in demo_result.mixed.samples} - answered_groups
+    ):
+        found.append(f"no {group} request was answered")
+    if demo_result.late_streams:
+        found.append(
+            f"the retired engine got {demo_result.late_streams} new streams"
+        )
+    if demo_result.kv_left:
+        found.append(
+            f"{demo_result.kv_left} tokens of engine memory were not released"
+        )
+    return found
+
+
+def table(demo_result: DemoResult) -> list[str]:
+    """Returns a summary as lines of text."""
+    mixed = result.summarise(demo_result.mixed)
+    alone = result.summarise(demo_result.alone)
     lines = [f"{'outcome':24}{'without long':>18}{'mixed':>18}"]
     for code in sorted(alone.outcomes | mixed.outcomes):
         name = "whole answer" if code == result.OK else f"code {code}"
@@ -141,13 +151,13 @@
     for high in result.BUCKETS:
         lines.append(_bucket_line(low, high, alone, mixed))
         low = high
-    slow = compare.slowdown(seen.mixed, seen.alone)
+    ratio = compare.slowdown(demo_result.mixed, demo_result.alone)
     lines += [
         "",
-        f"slowdown of short prompts: p50 {slow.p50:.2f}, p99 {slow.p99:.2f}"
-        f" ({slow.pairs} prompts)",
-        f"changes in force everywhere within {seen.spread_s:.2f} s",
-        f"engine memory still in use: {seen.kv_left} tokens",
+        f"slowdown of short prompts: p50 {ratio.p50:.2f}, p99 {ratio.p99:.2f}"
+        f" ({ratio.pairs} prompts)",
+        f"changes in force everywhere within {demo_result.adoption_s:.2f} s",
+        f"engine memory still in use: {demo_result.kv_left} tokens",
     ]
     return lines
 
@@ -168,35 +178,35 @@
 def main(argv: list[str] | None = None) -> None:
     """Runs the command line."""
     args = docopt.docopt(__doc__, argv)
-    begin = time.monotonic()
+    start = time.monotonic()
     mix = demo_mix(float(args["--seconds"]))
-    own = mix.cluster
+    size = mix.cluster
     print(
-        f"{own.entries} entries, {own.engines} engines ({own.time_scale:g} "
-        f"times faster than real ones), {own.services} services; "
+        f"{size.entries} entries, {size.engines} engines ({size.time_scale:g} "
+        f"times faster than real ones), {size.services} services; "
         f"{mix.load.rate_per_s:g} requests/s",
         flush=True,
     )
-    seen = asyncio.run(run(mix, seed=int(args["--seed"])))
-    print("\n".join(table(seen)))
+    demo_result = asyncio.run(run(mix, seed=int(args["--seed"])))
+    print("\n".join(table(demo_result)))
     if args["--html"]:
-        report.write([seen.alone, seen.mixed], args["--html"])
-    found = problems(seen)
+        report.write([demo_result.alone, demo_result.mixed], args["--html"])
+    found = problems(demo_result)
     print("\n".join(found) or "nothing lost")
-    print(f"took {time.monotonic() - begin:.1f} s")
+    print(f"took {time.monotonic() - start:.1f} s")
     sys.exit(1 if found else 0)
 
 
 def _with_largest(
     requests: list[arrivals.Arrival], mix: mixes.LoadSettings
 ) -> list[arrivals.Arrival]:
-    """Makes sure that the longest prompt of all is among the requests."""
+    """Returns the requests with one prompt of the greatest length added."""
     largest = arrivals.Arrival(
         len(requests),
         mix.load.duration_s * 0.2,
         mixes.organisation_names(mix)[0],
         arrivals.LONG,
-        _LARGEST_TOKENS,
+        _MAX_PROMPT_TOKENS,
         mix.long.answer_tokens,
     )
     return sorted([*requests, largest], key=lambda a: a.at_s)
@@ -221,44 +231,46 @@
     )
 
 
-async def _events(system: cluster.Cluster) -> tuple[float, int]:
+async def _change_configuration(system: cluster.Cluster) -> tuple[float, int]:
     """Switches the preset and retires an engine while requests run."""
     duration_s = system.mix.load.duration_s
-    await asyncio.sleep(duration_s * _SWITCH_AT)
+    await asyncio.sleep(duration_s * _SWITCH_SHARE)
     peak = configuration.PresetInForce(plan.PEAK)
-    spread_s = await _change(system, peak)
-    await asyncio.sleep(duration_s * (_RETIRE_AT - _SWITCH_AT))
-    name = plan.target_name(configuration.TargetKind.ENGINE, _RETIRED)
+    adoption_s = await _adoption_s(system, peak)
+    await asyncio.sleep(duration_s * (_RETIRE_SHARE - _SWITCH_SHARE))
+    name = plan.target_name(configuration.TargetKind.ENGINE, _RETIRED_ENGINE)
     retired = dataclasses.replace(
         system.cfg.targets[name], state=configuration.TargetState.RETIRED
     )
-    spread_s = max(spread_s, await _change(system, retired))
-    await asyncio.sleep(_LEAVE_S)
-    before = _streams(system.engines[_RETIRED])
-    await asyncio.sleep(duration_s * (1 - _RETIRE_AT))
-    return spread_s, len(_streams(system.engines[_RETIRED]) - before)
+    adoption_s = max(adoption_s, await _adoption_s(system, retired))
+    await asyncio.sleep(_DRAIN_S)
+    before = _stream_names(system.engines[_RETIRED_ENGINE])
+    await asyncio.sleep(duration_s * (1 - _RETIRE_SHARE))
+    return adoption_s, len(
+        _stream_names(system.engines[_RETIRED_ENGINE]) - before
+    )
 
 
-async def _change(
+async def _adoption_s(
     system: cluster.Cluster, entity: configuration.Entity
 ) -> float:
-    confirmed = await cluster.change(system, [entity])
-    seen = await cluster.wait_version(system, system.cfg.version)
-    return max(seen) - confirmed
+    confirmed_at = await cluster.change(system, [entity])
+    adopted_at = await cluster.wait_version(system, system.cfg.version)
+    return max(adopted_at) - confirmed_at
 
 
-def _streams(server) -> set[str]:
+def _stream_names(server) -> set[str]:
     return set(server.truth()["streams"])
 
 
 async def _memory_left(system: cluster.Cluster) -> int:
-    """Waits a while until the engines' own counts are zero."""
-    end = time.monotonic() + _MEMORY_S
+    """Returns the engine memory in use once it is zero or a timeout passes."""
+    end = time.monotonic() + _MEMORY_RELEASE_TIMEOUT_S
     while True:
-        left = sum(one.truth()["kv_used"] for one in system.engines)
+        left = sum(server.truth()["kv_used"] for server in system.engines)
         if not left or time.monotonic() > end:
             return left
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 if __name__ == "__main__":
--- a/copperloom/experiments/planes.py
+++ b/copperloom/experiments/planes.py
@@ -1,4 +1,4 @@
-"""Runs several entries on one event loop, for trials with very many.
+"""Runs several entries on one event loop, for trials of large fleets.
 
 Usage:
   copperloom-planes --platform=ADDRESS --first=N --count=N
@@ -8,9 +8,9 @@
   --first=N           Number of the first entry.
   --count=N           How many entries.
 
-Prints one line when they listen, and one for each version of the
-configuration that each of them adopts, with the monotonic time, which all
-processes of a machine share.
+Prints one line when the entries listen, and one for each adoption of a
+configuration version by one of them, with the monotonic time. All processes of
+a machine share this clock.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 
 __all__ = ["main"]
 
-_POLL_S = 0.02
-_CENTRES = 18
+_POLL_INTERVAL_S = 0.02
+_DATA_CENTRES = 18
 
 
 def main(argv: list[str] | None = None) -> None:
@@ -40,34 +40,34 @@
 async def _run(platform: str, numbers: range) -> None:
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    centres = tuple(f"dc-{i:02d}" for i in range(_CENTRES))
+    data_centres = tuple(f"dc-{i:02d}" for i in range(_DATA_CENTRES))
     mix = plan.make_settings(
         mixes.LoadSettings,
-        {"load": {"name": "planes"}, "cluster": {"data_centres": centres}},
+        {"load": {"name": "planes"}, "cluster": {"data_centres": data_centres}},
     )
-    running = []
+    services = []
     for number in numbers:
         sections = plan.entry_sections(mix, number, platform, plan.Variant())
-        own = plan.make_settings(options.EntrySettings, sections)
-        running.append(await entry.start(own))
+        entry_settings = plan.make_settings(options.EntrySettings, sections)
+        services.append(await entry.start(entry_settings))
     print("ready", flush=True)
-    watching = asyncio.create_task(_watch(running))
+    watching = asyncio.create_task(_watch(services))
     await stop.wait()
     watching.cancel()
-    await asyncio.gather(*(one.stop() for one in running))
+    await asyncio.gather(*(service.stop() for service in services))
 
 
-async def _watch(running: list[entry.EntryService]) -> None:
-    seen = [0] * len(running)
+async def _watch(services: list[entry.EntryService]) -> None:
+    versions = [0] * len(services)
     while True:
-        for index, one in enumerate(running):
-            version = one.entry.cfg.version
-            if version != seen[index]:
-                seen[index] = version
-                name = one.entry.settings.entry.instance
+        for index, service in enumerate(services):
+            version = service.entry.cfg.version
+            if version != versions[index]:
+                versions[index] = version
+                name = service.entry.settings.entry.instance
                 now = time.monotonic()
                 print(f"version {name} {version} {now:.6f}", flush=True)
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 if __name__ == "__main__":
--- a/copperloom/experiments/tests/test_cluster.py
+++ b/copperloom/experiments/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""A whole system in one process."""
+"""Tests of a complete system in one process."""
 
 import dataclasses
 import unittest
@@ -24,19 +24,17 @@
 
 class ClusterTest(unittest.IsolatedAsyncioTestCase):
     async def test_long_prompts_at_two_entries_wait_for_memory(self):
-        # Two callers send a long prompt at once, each to another entry; the
-        # engine that takes long work has memory for one. Both entries place
-        # theirs, and the engine's owner grants the first. The second was not
-        # run and its time limit is far away: it must wait, not be refused.
+        # Both entries place a long prompt on an engine with memory for one.
+        # The request whose reservation is denied must wait, not be refused.
         system = await cluster.start(_MIX)
         self.addAsyncCleanup(cluster.stop, system)
         first = arrivals.Arrival(0, 0.0, "org-00", "long", 300_000, 8)
         second = dataclasses.replace(first, index=1)
-        seen = await client.run(
+        outcomes = await client.run(
             _MIX,
             [first, second],
             system.addresses(),
             expected=load.expected_of_standins(_MIX),
         )
-        problems = [s.problem for s in seen]
-        self.assertEqual([s.code for s in seen], [result.OK] * 2, problems)
+        problems = [s.problem for s in outcomes]
+        self.assertEqual([s.code for s in outcomes], [result.OK] * 2, problems)
