--- a/copperloom/experiments/capacity.py
+++ b/copperloom/experiments/capacity.py
@@ -1,4 +1,4 @@
-"""Measures the slopes that docs/CAPACITY.md works from, and prints them.
+"""Measures the unit costs of the control plane and prints them.
 
 Usage:
   capacity [--entries=LIST]
@@ -10,9 +10,8 @@
                    [default: 9,30].
   --configuration  Only what needs no sockets.
 
-All runs in this process, on loopback. Costs of requests and tokens, which
-need an entry in a process of its own, are measured by
-`python -m bench.relay`.
+Everything runs in this process, on loopback. The costs of requests and tokens
+need an entry in a process of its own; `python -m bench.relay` measures them.
 """
 
 import asyncio
@@ -38,32 +37,34 @@
     """Runs the command line."""
     args = docopt.docopt(__doc__, argv)
     logs.setup("ERROR")
-    begin = time.monotonic()
+    start = time.monotonic()
     size = sizes.DESIGN
-    found = _show("Resident memory", control.resident_figures(size))
-    found |= _show("Configuration", slopes.change_figures(size))
-    found |= _show("Memory", slopes.memory_figures(size))
-    found |= _show("Snapshot", slopes.snapshot_figures(size))
-    found |= _show("Digests", slopes.digest_figures())
-    found |= _show("Controllers", control.controller_figures(size))
+    found = _print_figures("Resident memory", control.resident_figures(size))
+    found |= _print_figures("Configuration", slopes.change_figures(size))
+    found |= _print_figures("Memory", slopes.memory_figures(size))
+    found |= _print_figures("Snapshot", slopes.snapshot_figures(size))
+    found |= _print_figures("Digests", slopes.digest_figures())
+    found |= _print_figures("Controllers", control.controller_figures(size))
     if not args["--configuration"]:
-        found |= _measure_wire()
-        got = _measured(found, size)
-        for name, wanted in (("design", size), ("today", sizes.TODAY)):
-            _show_worked(name, worked.rows(got, wanted))
+        found |= _wire_figures()
+        costs = _unit_costs(found, size)
+        for name, fleet_size in (("design", size), ("today", sizes.TODAY)):
+            _print_rows(name, worked.rows(costs, fleet_size))
         for entries in args["--entries"].split(","):
-            _show("Spread", asyncio.run(spread.spread_figures(int(entries))))
-    print(f"took {time.monotonic() - begin:.0f} s")
+            _print_figures(
+                "Spread", asyncio.run(spread.spread_figures(int(entries)))
+            )
+    print(f"took {time.monotonic() - start:.0f} s")
 
 
-def _measure_wire() -> dict[str, float]:
-    found = _show("Peers", asyncio.run(wire.exchange_figures()))
-    found |= _show("Platform", asyncio.run(wire.platform_figures()))
-    found |= _show("Engines", asyncio.run(wire.report_figures()))
-    return found | _show("Records", asyncio.run(wire.record_figures()))
+def _wire_figures() -> dict[str, float]:
+    found = _print_figures("Peers", asyncio.run(wire.exchange_figures()))
+    found |= _print_figures("Platform", asyncio.run(wire.platform_figures()))
+    found |= _print_figures("Engines", asyncio.run(wire.report_figures()))
+    return found | _print_figures("Records", asyncio.run(wire.record_figures()))
 
 
-def _measured(found: dict[str, float], size: sizes.Sizes) -> worked.Measured:
+def _unit_costs(found: dict[str, float], size: sizes.Sizes) -> worked.UnitCosts:
     def both(name: str) -> tuple[float, float]:
         return (
             found[f"{name}, bytes both ways"],
@@ -75,10 +76,10 @@
     exchange_bytes, exchange_s = both("exchange of empty digests")
     report_bytes, report_s = both("load report")
     reservation_bytes, reservation_s = both("reservation")
-    return worked.Measured(
+    return worked.UnitCosts(
         head_bytes=head_bytes,
         head_s=head_s,
-        list_row_bytes=list_bytes / size.daemons,
+        list_row_bytes=list_bytes / size.entries,
         list_s=list_s,
         change_bytes=found["change of organisation, encoded"],
         change_s=found["change of organisation, decode and apply"],
@@ -95,7 +96,7 @@
     )
 
 
-def _show_worked(name: str, rows: list[worked.Row]) -> None:
+def _print_rows(name: str, rows: list[worked.Row]) -> None:
     print(f"\nWorked out for one entry, size: {name}")
     print(
         f"  {'controller':18}{'what':36}{'1/s':>8}{'bytes/s':>10}"
@@ -109,7 +110,9 @@
         )
 
 
-def _show(title: str, figures: Iterable[slopes.Figure]) -> dict[str, float]:
+def _print_figures(
+    title: str, figures: Iterable[slopes.Figure]
+) -> dict[str, float]:
     print(f"\n{title}")
     found = {}
     for figure in figures:
--- a/copperloom/experiments/control.py
+++ b/copperloom/experiments/control.py
@@ -1,7 +1,7 @@
-"""Measured costs of the controllers at a size, without sockets.
+"""Measures the cost of controllers in a fleet of a size, without sockets.
 
-An entry's state is filled with as many members and targets as the size has;
-then the parts of the controllers that go through all of them are timed.
+An entry's state is filled with the members and targets of the fleet; then the
+steps of the controllers that iterate over all of them are timed.
 """
 
 import pathlib
@@ -26,21 +26,21 @@
 
 
 def state_of(size: sizes.Sizes, now: float) -> EntryState:
-    """Returns an entry's state that knows a fleet of a size.
+    """Returns the state of an entry in a fleet of a size.
 
     Args:
         size: The size.
-        now: Monotonic seconds at which all members were last heard.
+        now: Monotonic time at which all members last replied.
     """
     sections = {
         "entry": {"instance": "entry-0000", "data_centre": "dc-00"},
         "platform": {"address": "127.0.0.1:1"},
     }
-    own = plan.make_settings(options.EntrySettings, sections)
-    state = EntryState(own, None, None)
+    entry_settings = plan.make_settings(options.EntrySettings, sections)
+    state = EntryState(entry_settings, None, None)
     state.cfg = slopes.configuration_of(size)
     scheduler.set_configuration(state.sched, state.cfg, now)
-    for index in range(1, size.daemons):
+    for index in range(1, size.entries):
         name = f"entry-{index:04d}"
         state.members[name] = member.Member(
             name,
@@ -54,9 +54,9 @@
 
 
 def resident_figures(size: sizes.Sizes) -> list[slopes.Figure]:
-    """Measures the resident memory of this process around a fleet's state.
+    """Measures the resident memory of this process with a fleet's state.
 
-    Best called first: the parts of an entry are loaded, little else is.
+    To be called before other measurements, whose memory would be included.
     """
     before = _resident_bytes()
     state = state_of(size, time.monotonic())
@@ -78,15 +78,15 @@
 
 
 def controller_figures(size: sizes.Sizes) -> list[slopes.Figure]:
-    """Measures the steps that go through all members or targets."""
+    """Measures the steps that iterate over all members or targets."""
     now = time.monotonic()
     state = state_of(size, now)
-    own = state.settings.entry.instance
+    instance = state.settings.entry.instance
 
-    work = {
+    steps = {
         "owners of all targets": lambda: reservation_owners.owned(state, now),
         "choice of the engines watched": lambda: load_polling.watched(
-            state.cfg, own
+            state.cfg, instance
         ),
         "configuration taken over by the scheduler": lambda: (
             scheduler.set_configuration(state.sched, state.cfg, now)
@@ -94,6 +94,6 @@
         "digest made": lambda: digest.make(state, now),
     }
     return [
-        slopes.Figure(f"{name}, processor", slopes.processor_s(run), "s")
-        for name, run in work.items()
+        slopes.Figure(f"{name}, processor", slopes.processor_s(step), "s")
+        for name, step in steps.items()
     ]
--- a/copperloom/experiments/sizes.py
+++ b/copperloom/experiments/sizes.py
@@ -1,4 +1,4 @@
-"""The size that the users design for, from their letter."""
+"""Fleet sizes, and the limits that capacity is compared with."""
 
 import dataclasses
 
@@ -7,23 +7,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sizes:
-    """How much there is of everything.
+    """The size and load of a fleet.
 
     Attributes:
-        daemons: Entries.
-        runners: Targets.
-        organisations: Organisations.
-        models: Models in steady use.
-        data_centres: Data centres.
-        regions: Regions.
-        requests_per_s: Requests at the peak.
-        tokens_per_s: Tokens generated at the peak.
-        changes_per_day: Changes of configuration.
+        entries: Number of entries.
+        runners: Number of targets.
+        organisations: Number of organisations.
+        models: Number of models in steady use.
+        data_centres: Number of data centres.
+        regions: Number of regions.
+        requests_per_s: Request rate at the peak.
+        tokens_per_s: Rate of generated tokens at the peak.
+        changes_per_day: Configuration changes a day.
         long_share: Share of prompts over 100,000 tokens.
-        restarts_per_day: Instances restarted, replaced or failed.
+        restarts_per_day: Instances that restart, fail or are replaced a day.
     """
 
-    daemons: int = 370
+    entries: int = 370
     runners: int = 1_400
     organisations: int = 25_000
     models: int = 9
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """What a daemon may spend for control.
+    """Resources that an entry may spend on its controllers.
 
     Attributes:
         core: Share of a processor core.
         memory_bytes: Resident memory.
-        bytes_per_s: Bytes sent and received.
+        bytes_per_s: Bytes sent and received a second.
     """
 
     core: float = 0.027
@@ -53,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rates:
-    """What the platform's table service can do.
+    """Rates that the platform's table service supports.
 
     Attributes:
-        writes_per_s: Rows written; "several hundred" taken as 300.
-        reads_per_s: Reads.
+        writes_per_s: Rows written a second.
+        reads_per_s: Reads a second.
     """
 
     writes_per_s: float = 300.0
@@ -65,9 +65,9 @@
 
 
 DESIGN = Sizes()
-# The larger of today's two deployments; the requests are assumed.
+# The larger of the two existing deployments; its request rate is an assumption.
 TODAY = Sizes(
-    daemons=9,
+    entries=9,
     runners=20,
     organisations=10,
     models=1,
--- a/copperloom/experiments/slopes.py
+++ b/copperloom/experiments/slopes.py
@@ -1,8 +1,8 @@
-"""Measured costs of one more of each thing, for docs/CAPACITY.md.
+"""Measures the unit costs of configurations and digests.
 
 Each function measures in this process and returns `Figure`s. Times are
-processor times, medians of several rounds; memory is what the allocator
-handed out, so that it doesn't depend on what ran before.
+processor times, as the median of several rounds. Memory is the amount that the
+allocator handed out, which does not depend on earlier work of the process.
 """
 
 import dataclasses
@@ -31,7 +31,7 @@
 ]
 
 _ROUNDS = 7
-_HUNDRED = 100
+_ITEMS = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,9 +39,9 @@
     """One measured figure.
 
     Attributes:
-        name: What was measured.
-        value: The value.
-        unit: Its unit.
+        name: Name of the quantity.
+        value: The measured value.
+        unit: Unit of the value.
     """
 
     name: str
@@ -50,14 +50,14 @@
 
 
 def organisation(index: int) -> configuration.Organisation:
-    """Returns one of many organisations."""
+    """Returns the organisation with an index."""
     name = f"organisation-{index:05d}"
     secret = hashlib.sha256(name.encode()).hexdigest()
     return configuration.Organisation(name, secret, limit_tokens_per_s=1000.0)
 
 
 def target(index: int, size: sizes.Sizes) -> configuration.Target:
-    """Returns one of many targets."""
+    """Returns the target with an index, in a fleet of a size."""
     return configuration.Target(
         name=f"target-{index:04d}",
         address=f"10.{index >> 8}.{index & 255}.7:8000",
@@ -67,7 +67,7 @@
 
 
 def configuration_of(size: sizes.Sizes) -> configuration.Configuration:
-    """Builds a configuration of a size, as changes would."""
+    """Builds the configuration of a fleet of a size."""
     entities = [
         configuration.Preset("ordinary"),
         configuration.PresetInForce("ordinary"),
@@ -84,18 +84,23 @@
 
 
 def processor_s(work: Callable[[], object], *, times: int = 1) -> float:
-    """Returns the median processor time of a piece of work, in seconds."""
+    """Returns the median processor time of a call, in seconds.
+
+    Args:
+        work: The function to call.
+        times: Calls in each round.
+    """
     rounds = []
     for _ in range(_ROUNDS):
-        begin = time.process_time()
+        start = time.process_time()
         for _ in range(times):
             work()
-        rounds.append((time.process_time() - begin) / times)
+        rounds.append((time.process_time() - start) / times)
     return statistics.median(rounds)
 
 
 def change_figures(size: sizes.Sizes) -> Iterator[Figure]:
-    """Measures bytes and processor time of a configuration change."""
+    """Measures the size and processor time of configuration changes."""
     cfg = configuration_of(size)
     kinds = {
         "organisation": organisation(3),
@@ -123,40 +128,46 @@
 
 
 def memory_figures(size: sizes.Sizes) -> Iterator[Figure]:
-    """Measures the memory of a configuration, and of each entity in it."""
-    bare = dataclasses.replace(size, organisations=0, runners=0)
-    base = _allocated(lambda: configuration_of(bare))
-    targets = dataclasses.replace(size, organisations=0)
-    with_targets = _allocated(lambda: configuration_of(targets))
-    whole = _allocated(lambda: configuration_of(size))
+    """Measures the memory of a configuration and of single entities."""
+    empty_size = dataclasses.replace(size, organisations=0, runners=0)
+    base = _allocated_bytes(lambda: configuration_of(empty_size))
+    targets_size = dataclasses.replace(size, organisations=0)
+    with_targets = _allocated_bytes(lambda: configuration_of(targets_size))
+    everything = _allocated_bytes(lambda: configuration_of(size))
     each_target = (with_targets - base) / max(1, size.runners)
-    each = (whole - with_targets) / max(1, size.organisations)
-    yield Figure("configuration, memory", whole, "bytes")
+    each_organisation = (everything - with_targets) / max(1, size.organisations)
+    yield Figure("configuration, memory", everything, "bytes")
     yield Figure("a target, memory", each_target, "bytes")
-    yield Figure("an organisation, memory", each, "bytes")
+    yield Figure("an organisation, memory", each_organisation, "bytes")
 
 
 def snapshot_figures(size: sizes.Sizes) -> Iterator[Figure]:
-    """Measures a whole configuration as one JSON object."""
+    """Measures a complete configuration encoded as one JSON value."""
     cfg = configuration_of(size)
     puts = [
         configuration.encode_entity(e)
-        for part in (cfg.targets, cfg.organisations, cfg.presets)
-        for e in part.values()
+        for entities in (cfg.targets, cfg.organisations, cfg.presets)
+        for e in entities.values()
     ]
     data = msgspec.json.encode(puts)
     yield Figure("snapshot, encoded", len(data), "bytes")
 
-    def read() -> None:
+    def decode() -> None:
         pairs = msgspec.json.decode(data, type=list[tuple[str, dict]])
         change = configuration.Change(1, "n", "x", puts=tuple(pairs))
         configuration.apply(configuration.Configuration(), change)
 
-    yield Figure("snapshot, decode and apply", processor_s(read), "s")
+    yield Figure("snapshot, decode and apply", processor_s(decode), "s")
 
 
-def digest(loads: int, demands: int, leaving: int) -> peers_pb2.Digest:
-    """Returns a digest with so many parts of each kind."""
+def digest(loads: int, demands: int, draining: int) -> peers_pb2.Digest:
+    """Returns a digest with a number of items of each kind.
+
+    Args:
+        loads: Number of target loads.
+        demands: Number of organisations' demands.
+        draining: Number of draining targets.
+    """
     return peers_pb2.Digest(
         instance="entry-0123",
         boot="0123456789ab",
@@ -166,7 +177,7 @@
         confirmed_age_ms=900,
         leaving_targets=[
             peers_pb2.Departure(target=f"target-{i:04d}", version=1_000_000)
-            for i in range(leaving)
+            for i in range(draining)
         ],
         loads=[
             peers_pb2.TargetLoad(
@@ -184,30 +195,30 @@
 
 
 def digest_figures() -> Iterator[Figure]:
-    """Measures the bytes of a digest and of each part that it may carry."""
-    base = _size(0, 0, 0)
+    """Measures the size of an empty digest and of each kind of item."""
+    base = _digest_size(0, 0, 0)
     yield Figure("digest, empty", base, "bytes")
-    for part, counts in (
-        ("target's load", (_HUNDRED, 0, 0)),
-        ("organisation's demand", (0, _HUNDRED, 0)),
-        ("leaving target", (0, 0, _HUNDRED)),
+    for item, counts in (
+        ("target's load", (_ITEMS, 0, 0)),
+        ("organisation's demand", (0, _ITEMS, 0)),
+        ("leaving target", (0, 0, _ITEMS)),
     ):
-        each = (_size(*counts) - base) / _HUNDRED
-        yield Figure(f"digest, a {part}", each, "bytes")
+        each_bytes = (_digest_size(*counts) - base) / _ITEMS
+        yield Figure(f"digest, a {item}", each_bytes, "bytes")
 
 
-def _size(loads: int, demands: int, leaving: int) -> int:
-    return len(digest(loads, demands, leaving).SerializeToString())
+def _digest_size(loads: int, demands: int, draining: int) -> int:
+    return len(digest(loads, demands, draining).SerializeToString())
 
 
-def _allocated(build: Callable[[], object]) -> float:
+def _allocated_bytes(build: Callable[[], object]) -> float:
     gc.collect()
     tracemalloc.start()
     try:
-        kept = build()
+        built = build()
         gc.collect()
         size = tracemalloc.get_traced_memory()[0]
-        del kept
+        del built
         return size
     finally:
         tracemalloc.stop()
--- a/copperloom/experiments/tests/test_capacity.py
+++ b/copperloom/experiments/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the slopes are of the right kind; no figure is judged here."""
+"""Tests of the capacity measurements; none bounds a measured cost."""
 
 import dataclasses
 import unittest
@@ -14,22 +14,22 @@
 
 
 class SlopesTest(unittest.TestCase):
-    def test_configuration_of_a_size(self):
+    def test_configuration_has_the_entities_of_the_size(self):
         cfg = slopes.configuration_of(_SMALL)
         self.assertEqual(len(cfg.organisations), 200)
         self.assertEqual(len(cfg.targets), 500)
 
-    def test_memory_adds_up(self):
-        got = by_name(slopes.memory_figures(_SMALL))
-        parts = (
-            200 * got["an organisation, memory"].value
-            + 500 * got["a target, memory"].value
+    def test_memory_of_entities_is_most_of_the_configuration(self):
+        figures = by_name(slopes.memory_figures(_SMALL))
+        entity_bytes = (
+            200 * figures["an organisation, memory"].value
+            + 500 * figures["a target, memory"].value
         )
-        whole = got["configuration, memory"].value
-        self.assertLess(parts, whole)
-        self.assertGreater(parts, whole / 2)
+        total_bytes = figures["configuration, memory"].value
+        self.assertLess(entity_bytes, total_bytes)
+        self.assertGreater(entity_bytes, total_bytes / 2)
 
-    def test_figures_are_positive(self):
+    def test_measured_costs_are_positive(self):
         for figure in (
             *slopes.change_figures(_SMALL),
             *slopes.snapshot_figures(_SMALL),
@@ -39,48 +39,50 @@
 
 
 class ControlTest(unittest.TestCase):
-    def test_controllers_of_a_size(self):
+    def test_state_has_the_members_of_the_size(self):
         state = control.state_of(_SMALL, 1.0)
-        self.assertEqual(len(state.members), _SMALL.daemons - 1)
+        self.assertEqual(len(state.members), _SMALL.entries - 1)
         for figure in control.controller_figures(_SMALL):
             self.assertGreater(figure.value, 0, figure.name)
 
-    def test_owned_engines_are_those_whose_owner_this_is(self):
+    def test_owned_targets_are_those_owned_by_this_instance(self):
         state = control.state_of(_SMALL, 1.0)
         own = state.settings.entry.instance
-        wanted = {
+        expected = {
             name
             for name in state.cfg.targets
             if reservation_owners.owner_of(state, name, 1.0) == own
         }
-        self.assertTrue(wanted)
-        self.assertEqual(reservation_owners.owned(state, 1.0).keys(), wanted)
+        self.assertTrue(expected)
+        self.assertEqual(reservation_owners.owned(state, 1.0).keys(), expected)
 
 
 class WorkedTest(unittest.TestCase):
-    """The arithmetic, on slopes that make it easy to follow."""
+    """The cost of an entry when every unit cost is one."""
 
-    ONES = worked.Measured(*[1.0] * len(dataclasses.fields(worked.Measured)))
+    UNIT_COSTS = worked.UnitCosts(
+        *[1.0] * len(dataclasses.fields(worked.UnitCosts))
+    )
 
     def row(self, what: str, size=sizes.DESIGN) -> worked.Row:
-        found = worked.rows(self.ONES, size)
+        found = worked.rows(self.UNIT_COSTS, size)
         return next(r for r in found if r.what == what)
 
-    def test_head_reads_grow_with_the_daemons(self):
+    def test_head_reads_grow_with_the_entries(self):
         self.assertEqual(self.row("reads of the head").reads_per_s, 370)
         self.assertEqual(self.row("reads of the head").bytes_per_s, 1)
 
-    def test_watched_engines_do_not_grow_with_the_runners(self):
-        twice = dataclasses.replace(sizes.DESIGN, runners=2800)
+    def test_load_reports_do_not_grow_with_the_targets(self):
+        doubled = dataclasses.replace(sizes.DESIGN, runners=2800)
         name = "load reports"
-        self.assertEqual(self.row(name), self.row(name, twice))
+        self.assertEqual(self.row(name), self.row(name, doubled))
 
-    def test_keyed_requests_write_two_rows_each(self):
+    def test_request_with_a_key_writes_two_rows(self):
         rows = self.row("idempotency records").writes_per_s
         self.assertAlmostEqual(rows, 2 * 0.03 * 5400)
 
-    def test_totals(self):
-        found = worked.rows(self.ONES, sizes.DESIGN)
+    def test_totals_are_the_sums_of_the_rows(self):
+        found = worked.rows(self.UNIT_COSTS, sizes.DESIGN)
         total = worked.totals(found)
         self.assertAlmostEqual(
             total.bytes_per_s, sum(r.bytes_per_s for r in found)
--- a/copperloom/experiments/wire.py
+++ b/copperloom/experiments/wire.py
@@ -1,7 +1,7 @@
-"""Measured costs of messages on loopback, for docs/CAPACITY.md.
+"""Measures the cost of messages on loopback.
 
-Bytes are counted by the stand-ins' proxy, at the TCP payload, both ways.
-Processor time is that of both sides, since they share this process.
+A proxy counts the bytes of TCP payload in both directions. Processor time is
+that of both sides, since they share this process.
 """
 
 import asyncio
@@ -28,20 +28,20 @@
     "report_figures",
 ]
 
-_TIMES = 300
-_WARM_UP = 20
-_CALL_S = 5.0
+_CALLS = 300
+_WARM_UP_CALLS = 20
+_CALL_TIMEOUT_S = 5.0
 _LOADS = 12
 _UNLIMITED = 1e9
 _RECORDS = 3_000
-_RECORDS_AT_ONCE = 200
+_CONCURRENT_RECORDS = 200
 
 
 async def exchange_figures() -> list[slopes.Figure]:
     """Measures an exchange of digests and a reservation between two peers."""
     out = []
-    async with _peer() as address, _counted(address) as (way, count):
-        host, _, port = way.rpartition(":")
+    async with _peer() as address, _counting_proxy(address) as (proxied, count):
+        host, _, port = proxied.rpartition(":")
         channel = grpclib.client.Channel(host, int(port))
         stub = peers_grpc.PeersStub(channel)
         digests = {
@@ -49,8 +49,10 @@
             "exchange of digests with 12 loads": slopes.digest(_LOADS, 0, 0),
         }
         for name, message in digests.items():
-            out += await _cost(name, count, lambda m=message: stub.Exchange(m))
-        ask = peers_pb2.ReserveRequest(
+            out += await _call_figures(
+                name, count, lambda m=message: stub.Exchange(m)
+            )
+        req = peers_pb2.ReserveRequest(
             instance="entry-0123",
             boot="0123456789ab",
             target="target-0123",
@@ -58,51 +60,58 @@
             tokens=400_000,
             ttl_ms=10_000,
         )
-        out += await _cost("reservation", count, lambda: stub.Reserve(ask))
+        out += await _call_figures(
+            "reservation", count, lambda: stub.Reserve(req)
+        )
         channel.close()
     return out
 
 
 async def platform_figures() -> list[slopes.Figure]:
-    """Measures a read of the head and of the instance list."""
+    """Measures reads of the configuration's head and the instance list."""
     out = []
-    async with _platform() as address, _counted(address) as (way, count):
-        client = platform_http.connect(way)
+    async with (
+        _platform() as address,
+        _counting_proxy(address) as (proxied, count),
+    ):
+        client = platform_http.connect(proxied)
         head = interface.Write("config/head", {"version": 1, "nonce": "0" * 16})
-        await client.transact([], [head], timeout_s=_CALL_S)
-        out += await _cost(
+        await client.transact([], [head], timeout_s=_CALL_TIMEOUT_S)
+        out += await _call_figures(
             "read of the head",
             count,
-            lambda: client.read("config/head", timeout_s=_CALL_S),
+            lambda: client.read("config/head", timeout_s=_CALL_TIMEOUT_S),
         )
-        for index in range(sizes.DESIGN.daemons):
+        for index in range(sizes.DESIGN.entries):
             row = interface.InstanceRow(
                 f"entry-{index:04d}", "entry", "10.1.2.3:9000", "dc-07"
             )
-            await client.announce(row, timeout_s=_CALL_S)
-        out += await _cost(
+            await client.announce(row, timeout_s=_CALL_TIMEOUT_S)
+        out += await _call_figures(
             "read of the instance list",
             count,
-            lambda: client.instances(timeout_s=_CALL_S),
+            lambda: client.instances(timeout_s=_CALL_TIMEOUT_S),
         )
         await client.close()
     return out
 
 
 async def report_figures() -> list[slopes.Figure]:
-    """Measures a load report and an empty list of streams of an engine."""
+    """Measures a load report and an empty list of an engine's streams."""
     out = []
-    own = plan.make_settings(settings.EngineSettings, {})
-    server = await engine.serve(own)
-    async with _counted(server.addresses["listen"]) as (way, count):
-        targets = targets_http.connect(connect_s=_CALL_S)
+    engine_settings = plan.make_settings(settings.EngineSettings, {})
+    server = await engine.serve(engine_settings)
+    async with _counting_proxy(server.addresses["listen"]) as (proxied, count):
+        targets = targets_http.connect(connect_s=_CALL_TIMEOUT_S)
         calls = {
             "load report": targets.load,
             "list of streams": targets.streams,
         }
         for name, call in calls.items():
-            out += await _cost(
-                name, count, lambda call=call: call(way, timeout_s=_CALL_S)
+            out += await _call_figures(
+                name,
+                count,
+                lambda call=call: call(proxied, timeout_s=_CALL_TIMEOUT_S),
             )
         await targets.close()
     await server.close()
@@ -110,7 +119,7 @@
 
 
 async def record_figures() -> list[slopes.Figure]:
-    """Measures idempotency records through one entry's batches."""
+    """Measures batched writes of idempotency records."""
     async with _platform() as address:
         client = platform_http.connect(address)
         calls = 0
@@ -120,17 +129,20 @@
             calls += 1
             return await client.transact(*args, **kwargs)
 
-        counted = dataclasses.replace(client, transact=transact)
-        batcher = row_batch.Batcher(counted, timeout_s=_CALL_S)
-        begin, cpu = time.monotonic(), time.process_time()
+        counting_client = dataclasses.replace(client, transact=transact)
+        batcher = row_batch.Batcher(counting_client, timeout_s=_CALL_TIMEOUT_S)
+        start, start_cpu = time.monotonic(), time.process_time()
         await _write_records(batcher)
-        took, used = time.monotonic() - begin, time.process_time() - cpu
+        elapsed_s, cpu_s = (
+            time.monotonic() - start,
+            time.process_time() - start_cpu,
+        )
         await client.close()
     name = "records"
     return [
-        slopes.Figure(f"{name}, written", _RECORDS / took, "1/s"),
+        slopes.Figure(f"{name}, written", _RECORDS / elapsed_s, "1/s"),
         slopes.Figure(f"{name}, rows a transaction", _RECORDS / calls, ""),
-        slopes.Figure(f"{name}, processor, both sides", used / _RECORDS, "s"),
+        slopes.Figure(f"{name}, processor, both sides", cpu_s / _RECORDS, "s"),
     ]
 
 
@@ -138,7 +150,7 @@
     value = {"nonce": "0" * 24, "digest": "0" * 32, "state": "started"}
     pending: set[asyncio.Task] = set()
     for index in range(_RECORDS):
-        if len(pending) >= _RECORDS_AT_ONCE:
+        if len(pending) >= _CONCURRENT_RECORDS:
             _, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
@@ -147,30 +159,30 @@
     await asyncio.gather(*pending)
 
 
-async def _cost(
+async def _call_figures(
     name: str,
     count: Callable[[], int],
     call: Callable[[], Awaitable],
 ) -> list[slopes.Figure]:
-    for _ in range(_WARM_UP):
+    for _ in range(_WARM_UP_CALLS):
         await call()
-    begin, cpu = count(), time.process_time()
-    for _ in range(_TIMES):
+    start_bytes, start_cpu = count(), time.process_time()
+    for _ in range(_CALLS):
         await call()
-    used = time.process_time() - cpu
-    # The last bytes may still be on their way through the proxy.
+    cpu_s = time.process_time() - start_cpu
+    # The proxy may not have forwarded the last bytes yet.
     await asyncio.sleep(0.05)
-    size = (count() - begin) / _TIMES
+    size = (count() - start_bytes) / _CALLS
     return [
         slopes.Figure(f"{name}, bytes both ways", size, "bytes"),
         slopes.Figure(
-            f"{name}, processor, both sides and proxy", used / _TIMES, "s"
+            f"{name}, processor, both sides and proxy", cpu_s / _CALLS, "s"
         ),
     ]
 
 
 class _Peer(peers_grpc.PeersBase):
-    """Answers each exchange with the digest that it got."""
+    """A peer that echoes digests and grants every reservation."""
 
     async def Exchange(self, stream) -> None:  # noqa: N802
         await stream.send_message(await stream.recv_message())
@@ -206,17 +218,19 @@
             "list_lag_s": 0.0,
         }
     }
-    own = plan.make_settings(platform.PlatformStandinSettings, sections)
-    server = await platform.serve(own)
+    platform_settings = plan.make_settings(
+        platform.PlatformStandinSettings, sections
+    )
+    server = await platform.serve(platform_settings)
     yield server.addresses["listen"]
     await server.close()
 
 
 @contextlib.asynccontextmanager
-async def _counted(
+async def _counting_proxy(
     upstream: str,
 ) -> AsyncIterator[tuple[str, Callable[[], int]]]:
-    """Gives an address before another, and a count of the bytes passed."""
+    """Yields the address of a proxy of `upstream`, and its byte counter."""
     sections = {"proxy": {"pairs": (f"way=127.0.0.1:0>{upstream}",)}}
     server = await proxy.serve(
         plan.make_settings(settings.ProxySettings, sections)
--- a/copperloom/experiments/worked.py
+++ b/copperloom/experiments/worked.py
@@ -1,7 +1,7 @@
-"""Works out what each controller costs at a size, from measured slopes.
+"""Computes the cost of each controller in a fleet from unit costs.
 
-Pure arithmetic on the slopes and on the entries' default settings; what is
-assumed stands beside each row.
+The result is derived from measured unit costs and the entries' settings alone;
+assumptions are noted where they are used.
 """
 
 import dataclasses
@@ -10,35 +10,37 @@
 from copperloom.daemons import options
 from copperloom.experiments import plan, sizes
 
-__all__ = ["Measured", "Row", "rows", "totals"]
+__all__ = ["Row", "UnitCosts", "rows", "totals"]
 
 _DIGEST_LOADS = 12
-# A long request asks, renews about twice and releases.
-_ASKS = 4
-_HALF = 0.5
+# A long request makes a reservation, renews it about twice and releases it.
+_CALLS_PER_RESERVATION = 4
+_ENTRY_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measured:
-    """Slopes that were measured; processor times are of both sides together.
+class UnitCosts:
+    """Measured unit costs, in bytes and seconds of processor time.
+
+    Processor times of messages include both sides.
 
     Attributes:
         head_bytes: A read of the configuration's head.
-        head_s: Its processor time.
+        head_s: A read of the configuration's head.
         list_row_bytes: A row of the instance list.
-        list_s: Processor time of reading the list at the size measured.
-        change_bytes: A change, encoded.
+        list_s: A read of the instance list, at the size of the measurement.
+        change_bytes: An encoded configuration change.
         change_s: Decoding and applying a change of an organisation.
-        adopt_s: The scheduler's taking over of a configuration.
+        adopt_s: Adoption of a configuration by the scheduler.
         exchange_bytes: An exchange of empty digests, both ways.
-        exchange_s: Its processor time.
+        exchange_s: An exchange of empty digests.
         load_bytes: One target's load in a digest.
         report_bytes: A load report from an engine.
-        report_s: Its processor time.
-        owner_s: Finding the owners of all targets once.
+        report_s: A load report from an engine.
+        owner_s: Computation of the owners of all targets.
         reservation_bytes: A reservation.
-        reservation_s: Its processor time.
-        record_s: An idempotency record's row.
+        reservation_s: A reservation.
+        record_s: Writing one row of an idempotency record.
     """
 
     head_bytes: float
@@ -61,17 +63,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One kind of work of one entry.
+    """The cost of one kind of work for one entry.
 
     Attributes:
-        controller: Whose work it is.
-        what: What is done.
-        per_s: How often, for one entry.
+        controller: Name of the controller.
+        what: Description of the work.
+        per_s: Rate at one entry.
         bytes_per_s: Bytes both ways.
-        core: Share of a processor core; half of both sides' time where two
-            processes share it.
-        reads_per_s: Reads that all entries together make at the platform.
-        writes_per_s: Rows that all together write at its table service.
+        core: Share of a processor core. Work that two processes share counts
+            for half of both sides' time.
+        reads_per_s: Reads at the platform by all entries together.
+        writes_per_s: Rows written to the platform's table service by all
+            entries together.
     """
 
     controller: str
@@ -84,134 +87,145 @@
 
 
 def rows(
-    got: Measured,
+    costs: UnitCosts,
     size: sizes.Sizes,
     *,
     keyed_share: float = 0.03,
-    own: options.EntrySettings | None = None,
+    entry_settings: options.EntrySettings | None = None,
 ) -> list[Row]:
-    """Returns the work of each controller of one entry.
+    """Returns the cost of each kind of work of an entry's controllers.
 
     Args:
-        got: The measured slopes.
-        size: The size.
-        keyed_share: Share of requests that are marked not repeatable and have
-            a key (assumed); each writes two rows.
-        own: The entries' settings; the defaults if None.
+        costs: The unit costs.
+        size: The size of the fleet.
+        keyed_share: Assumed share of requests that have an idempotency key;
+            each writes two rows.
+        entry_settings: The entries' settings; the defaults if None.
     """
-    own = own or plan.make_settings(options.EntrySettings, {})
+    entry_settings = entry_settings or plan.make_settings(
+        options.EntrySettings, {}
+    )
     return [
-        *_configuration(got, size, own),
-        *_members(got, size, own),
-        *_engines(got, size, own),
-        _records(got, size, keyed_share),
+        *_configuration(costs, size, entry_settings),
+        *_members(costs, size, entry_settings),
+        *_engines(costs, size, entry_settings),
+        _records(costs, size, keyed_share),
     ]
 
 
-def totals(found: list[Row]) -> Row:
-    """Returns the sum of rows."""
+def totals(parts: list[Row]) -> Row:
+    """Returns a row with the sums of the others."""
     return Row(
         "all",
         "",
         0.0,
-        sum(r.bytes_per_s for r in found),
-        sum(r.core for r in found),
-        sum(r.reads_per_s for r in found),
-        sum(r.writes_per_s for r in found),
+        sum(r.bytes_per_s for r in parts),
+        sum(r.core for r in parts),
+        sum(r.reads_per_s for r in parts),
+        sum(r.writes_per_s for r in parts),
     )
 
 
-def _configuration(got, size, own) -> list[Row]:
-    heads = 1 / own.platform.head_poll_s
+def _configuration(costs, size, entry_settings) -> list[Row]:
+    reads = 1 / entry_settings.platform.head_poll_s
     changes = size.changes_per_day / 86_400
     return [
         Row(
             "config",
             "reads of the head",
-            heads,
-            heads * got.head_bytes,
-            heads * got.head_s * _HALF,
-            reads_per_s=heads * size.daemons,
+            reads,
+            reads * costs.head_bytes,
+            reads * costs.head_s * _ENTRY_SHARE,
+            reads_per_s=reads * size.entries,
         ),
         Row(
             "config",
             "changes adopted",
             changes,
-            changes * (got.change_bytes + got.head_bytes),
-            changes * (got.change_s + got.adopt_s + got.head_s),
-            reads_per_s=changes * size.daemons,
-            # Head, change and audit row; once for the whole fleet.
+            changes * (costs.change_bytes + costs.head_bytes),
+            changes * (costs.change_s + costs.adopt_s + costs.head_s),
+            reads_per_s=changes * size.entries,
+            # A head, change and audit row, once for the whole fleet.
             writes_per_s=3 * changes,
         ),
     ]
 
 
-def _members(got, size, own) -> list[Row]:
-    poll_s = own.platform.instances_poll_s
-    looks = 1 / member.list_interval(poll_s, size.daemons)
-    list_bytes = size.daemons * got.list_row_bytes
-    # Each entry sends as many as it gets.
-    sent = membership.exchanges_per_s(own.membership, size.daemons)
-    each = got.exchange_bytes + 2 * _DIGEST_LOADS * got.load_bytes
+def _members(costs, size, entry_settings) -> list[Row]:
+    poll_interval_s = entry_settings.platform.instances_poll_s
+    reads = 1 / member.list_interval(poll_interval_s, size.entries)
+    list_bytes = size.entries * costs.list_row_bytes
+    # Each entry receives about as many exchanges as it sends.
+    sent_per_s = membership.exchanges_per_s(
+        entry_settings.membership, size.entries
+    )
+    bytes_per_exchange = (
+        costs.exchange_bytes + 2 * _DIGEST_LOADS * costs.load_bytes
+    )
     return [
         Row(
             "members",
             "reads of the instance list",
-            looks,
-            looks * list_bytes,
-            looks * got.list_s * _HALF,
-            reads_per_s=looks * size.daemons,
+            reads,
+            reads * list_bytes,
+            reads * costs.list_s * _ENTRY_SHARE,
+            reads_per_s=reads * size.entries,
         ),
         Row(
             "members",
             "exchanges of digests",
-            2 * sent,
-            2 * sent * each,
-            2 * sent * got.exchange_s * _HALF,
+            2 * sent_per_s,
+            2 * sent_per_s * bytes_per_exchange,
+            2 * sent_per_s * costs.exchange_s * _ENTRY_SHARE,
         ),
     ]
 
 
-def _engines(got, size, own) -> list[Row]:
+def _engines(costs, size, entry_settings) -> list[Row]:
     watched = min(load_polling.WATCH_MOST, size.runners)
-    polls = min(watched / own.targets.load_poll_s, own.targets.load_polls_per_s)
-    steps = 4 / own.targets.reservation_s
-    owned = size.runners / size.daemons
-    looks = owned * (steps + 1 / own.targets.reclaim_poll_s)
-    asked = size.requests_per_s * size.long_share / size.daemons
+    polls = min(
+        watched / entry_settings.targets.load_poll_s,
+        entry_settings.targets.load_polls_per_s,
+    )
+    steps = 4 / entry_settings.targets.reservation_s
+    owned = size.runners / size.entries
+    listings = owned * (steps + 1 / entry_settings.targets.reclaim_poll_s)
+    reservations = size.requests_per_s * size.long_share / size.entries
     return [
         Row(
             "loads",
             "load reports",
             polls,
-            polls * got.report_bytes,
-            polls * got.report_s * _HALF,
+            polls * costs.report_bytes,
+            polls * costs.report_s * _ENTRY_SHARE,
+        ),
+        Row(
+            "owners", "owners of all targets", steps, core=steps * costs.owner_s
         ),
-        Row("owners", "owners of all targets", steps, core=steps * got.owner_s),
         Row(
             "owners, reclaim",
             "lists of streams at owned engines",
-            looks,
-            looks * got.report_bytes,
-            looks * got.report_s * _HALF,
+            listings,
+            listings * costs.report_bytes,
+            listings * costs.report_s * _ENTRY_SHARE,
         ),
         Row(
             "owners",
             "reservations, renewals, releases",
-            asked * _ASKS,
-            asked * _ASKS * got.reservation_bytes * 2,
-            asked * _ASKS * got.reservation_s,
+            reservations * _CALLS_PER_RESERVATION,
+            reservations * _CALLS_PER_RESERVATION * costs.reservation_bytes * 2,
+            reservations * _CALLS_PER_RESERVATION * costs.reservation_s,
         ),
     ]
 
 
-def _records(got, size, keyed_share) -> Row:
-    keyed = size.requests_per_s * keyed_share
-    each = 2 * keyed / size.daemons
+def _records(costs, size, keyed_share) -> Row:
+    keyed_per_s = size.requests_per_s * keyed_share
+    rows_per_s = 2 * keyed_per_s / size.entries
     return Row(
         "records",
         "idempotency records",
-        each,
-        core=each * got.record_s,
-        writes_per_s=2 * keyed,
+        rows_per_s,
+        core=rows_per_s * costs.record_s,
+        writes_per_s=2 * keyed_per_s,
     )
