--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that start processes: policies, relay, spread, soak."""
+"""Measurements and soak runs that start real processes."""
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Real processes for trials: platform, engines, services and entries.
+"""Starts platform, engines, services and entries as processes.
 
-Started here, on the tests' side, because no program of the product starts
-another process.
+This belongs to the tests, because no program of the product starts another
+process.
 """
 
 import contextlib
@@ -19,12 +19,12 @@
 __all__ = ["Fleet", "start"]
 
 _MS = 1e-3
-_READY_S = 30.0
-_CALL_S = 5.0
+_READY_TIMEOUT_S = 30.0
+_CALL_TIMEOUT_S = 5.0
 
 
 class Cleanups(contextlib.ExitStack):
-    """Clean-up as the tests' fixtures register it on a test case."""
+    """Stands in for a test case where the tests' fixtures add clean-ups."""
 
     def addCleanup(self, function, *args) -> None:  # noqa: N802
         """Registers a clean-up; the last one runs first."""
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """What runs.
+    """The processes of a running fleet.
 
     Attributes:
         entries: The entries.
@@ -48,8 +48,8 @@
     platform: processes.Process
 
     def addresses(self) -> list[str]:
-        """Returns where the entries listen for callers."""
-        return [one.address for one in self.entries]
+        """Returns the addresses at which the entries listen for callers."""
+        return [entry.address for entry in self.entries]
 
 
 def start(
@@ -59,11 +59,12 @@
     *,
     seed: int,
 ) -> Fleet:
-    """Starts a fleet and waits until its entries serve.
+    """Starts a fleet and waits until its entries are ready.
 
     Args:
         cleanups: Ends the processes.
-        mix: The mix; its [cluster] section tells how many of each.
+        mix: The mix, whose [cluster] section sets the number of processes of
+            each kind.
         variant: Policy of the entries.
         seed: Seed of the stand-ins.
     """
@@ -86,8 +87,10 @@
         )
         for i in range(mix.cluster.services)
     ]
-    ways = _ways(cleanups, mix, engines + services)
-    _configure(platform, mix, ways[: len(engines)], ways[len(engines) :])
+    addresses = _target_addresses(cleanups, mix, engines + services)
+    _configure(
+        platform, mix, addresses[: len(engines)], addresses[len(engines) :]
+    )
     entries = [
         processes.launch(
             cleanups,
@@ -97,11 +100,11 @@
         )
         for i in range(mix.cluster.entries)
     ]
-    for one in entries:
+    for entry in entries:
         processes.wait_until(
-            lambda one=one: _is_ready(one),
-            _READY_S,
-            f"{one.name} serves",
+            lambda entry=entry: _is_ready(entry),
+            _READY_TIMEOUT_S,
+            f"{entry.name} is ready",
         )
     time.sleep(plan.WARM_UP_S)
     return Fleet(entries, engines, services, platform)
@@ -109,7 +112,7 @@
 
 def _is_ready(entry: processes.Process) -> bool:
     url = f"http://{entry.address}/ready"
-    with urllib.request.urlopen(url, timeout=_CALL_S) as reply:
+    with urllib.request.urlopen(url, timeout=_CALL_TIMEOUT_S) as reply:
         return reply.status == http.HTTPStatus.OK
 
 
@@ -118,24 +121,25 @@
     return processes.launch(cleanups, kind.value, _ini(sections), name=name)
 
 
-def _ways(cleanups, mix, targets) -> list[str]:
-    """Returns the targets' addresses, behind the delay between data centres.
+def _target_addresses(cleanups, mix, targets) -> list[str]:
+    """Returns the addresses at which the entries reach the targets.
 
-    Every entry meets every target with the same delay, since a target has
-    one address for all.
+    With a delay between data centres, these are addresses of a proxy. The
+    delay is the same for all entries, since a target has only one address.
     """
     if not mix.network.between_ms or not targets:
-        return [one.address for one in targets]
+        return [target.address for target in targets]
     pairs = ", ".join(
-        f"{one.name}=127.0.0.1:0>{one.address}" for one in targets
+        f"{target.name}=127.0.0.1:0>{target.address}" for target in targets
     )
     proxy = processes.launch(cleanups, "proxy", {"proxy": {"pairs": pairs}})
-    ways = [proxy.addresses[one.name] for one in targets]
+    addresses = [proxy.addresses[target.name] for target in targets]
     proxy.control(delay_s=mix.network.between_ms * _MS)
-    return ways
+    return addresses
 
 
 def _configure(platform, mix, engines: list[str], services: list[str]) -> None:
+    """Writes the first configuration, directly to the platform's table."""
     puts = [
         configuration.encode_entity(e)
         for e in plan.entities(mix, engines, services)
@@ -154,7 +158,7 @@
 
 
 def _ini(sections: plan.Sections) -> plan.Sections:
-    """Returns sections with values as an INI file has them."""
+    """Returns the sections with lists in the form of an INI file."""
     return {
         name: {
             key: ", ".join(value) if isinstance(value, tuple) else value
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Runs all policies on a mix, with real processes, and prints a table.
+"""Compares all policies on a mix with real processes, and prints a table.
 
 Usage:
   policies MIX [options]
@@ -11,8 +11,8 @@
   --entries=N      Entries in place of the mix's.
   --output=FOLDER  Also write each result as JSON.
 
-Each variant meets the same arrivals twice, without and with the long prompts,
-on freshly started processes. Figures are medians over the seeds.
+Each variant runs on processes of its own and gets the same arrivals twice,
+with and without the long prompts. The figures are medians over the seeds.
 """
 
 import asyncio
@@ -49,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """One variant with one seed.
+    """The results of one variant with one seed.
 
     Attributes:
-        mixed: The run with the long prompts.
-        alone: The run without.
+        mixed: Result with the long prompts.
+        alone: Result without the long prompts.
     """
 
     mixed: result.Result
@@ -61,15 +61,15 @@
 
 
 def variants() -> list[plan.Variant]:
-    """Returns the policies, and the full one with each mechanism off."""
-    out = [plan.Variant(name) for name in policies.POLICIES]
+    """Returns all policies, and the full one without each mechanism."""
+    found = [plan.Variant(name) for name in policies.POLICIES]
     for name in sorted(policies.MECHANISMS):
-        out.append(plan.Variant("copperloom", (name,)))
-    return out
+        found.append(plan.Variant("copperloom", (name,)))
+    return found
 
 
 def run(mix: mixes.LoadSettings, variant: plan.Variant, seed: int) -> Outcome:
-    """Runs one variant with one seed."""
+    """Runs one variant with one seed, with and without long prompts."""
     with fleet.Cleanups() as cleanups:
         system = fleet.start(cleanups, mix, variant, seed=seed)
         runs = [
@@ -89,7 +89,7 @@
 
 
 def figures(outcome: Outcome) -> dict[str, float]:
-    """Returns the figures of one run by column."""
+    """Returns the figures of one outcome by column."""
     summary = result.summarise(outcome.mixed)
     slow = compare.slowdown(outcome.mixed, outcome.alone)
     samples = outcome.mixed.samples
@@ -115,7 +115,7 @@
 
 
 def medians(rows: list[dict[str, float]]) -> dict[str, float]:
-    """Returns the median of each figure over the seeds."""
+    """Returns the median of each column over the seeds."""
     return {c: statistics.median(row[c] for row in rows) for c in _COLUMNS}
 
 
@@ -135,13 +135,15 @@
     for variant in variants():
         if only is not None and variant.label() not in only:
             continue
-        rows = [_one(mix, variant, seed, args["--output"]) for seed in seeds]
+        rows = [
+            _run_seed(mix, variant, seed, args["--output"]) for seed in seeds
+        ]
         values = medians(rows)
         cells = "".join(f"{values[c]:14.3g}" for c in _COLUMNS)
         print(f"{variant.label():26}{cells}", flush=True)
 
 
-def _one(mix, variant, seed: int, folder: str | None) -> dict[str, float]:
+def _run_seed(mix, variant, seed: int, folder: str | None) -> dict[str, float]:
     outcome = run(mix, variant, seed)
     if folder:
         for name, res in (("mixed", outcome.mixed), ("alone", outcome.alone)):
@@ -152,18 +154,19 @@
 
 
 def _mix(args: dict) -> mixes.LoadSettings:
+    """Returns the mix with the changes of the command line."""
     mix = settings.load_or_exit(args["MIX"], mixes.LoadSettings)
-    own, cluster = {}, {}
+    load_changes, cluster_changes = {}, {}
     if args["--rate"]:
-        own["rate_per_s"] = float(args["--rate"])
+        load_changes["rate_per_s"] = float(args["--rate"])
     if args["--seconds"]:
-        own["duration_s"] = float(args["--seconds"])
+        load_changes["duration_s"] = float(args["--seconds"])
     if args["--entries"]:
-        cluster["entries"] = int(args["--entries"])
+        cluster_changes["entries"] = int(args["--entries"])
     return dataclasses.replace(
         mix,
-        load=dataclasses.replace(mix.load, **own),
-        cluster=dataclasses.replace(mix.cluster, **cluster),
+        load=dataclasses.replace(mix.load, **load_changes),
+        cluster=dataclasses.replace(mix.cluster, **cluster_changes),
     )
 
 
