--- a/bench/policies.py
+++ b/bench/policies.py
@@ -11,7 +11,7 @@
   --entries=N      Entries in place of the mix's.
   --output=FOLDER  Also write each result as JSON.
 
-Each variant runs on processes of its own and gets the same arrivals twice,
+Each variant and seed runs on new processes and gets the same arrivals twice,
 with and without the long prompts. The figures are medians over the seeds.
 """
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""Measures what an entry spends for a request and a token, as a process.
+"""Measures the processor time that an entry spends per request and token.
 
 Usage:
   relay [--seconds=S] [--seed=N]
@@ -7,10 +7,10 @@
   --seconds=S  Length of each run [default: 10].
   --seed=N     Seed of the arrivals [default: 1].
 
-One entry and several engine stand-ins run as processes; the client is this
-one. The slope of a token is the difference between two runs that differ in
-the length of answers only, that of a prompt's byte the difference between two
-runs that differ in the length of prompts only.
+One entry and several engine stand-ins run as processes; this process is the
+client. The cost of an answer token is the slope between two runs that differ
+only in the length of answers, that of a prompt token the slope between two
+runs that differ only in the length of prompts.
 """
 
 import asyncio
@@ -32,32 +32,33 @@
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _IDLE_S = 5.0
 _PROBES = 300
-_PROBE_PAUSE_S = 0.02
-# An entry's share of the peak at the size designed for.
-_SHARE_RATE_PER_S = 15.0
-_SHARE_ANSWER_TOKENS = 470
-# So much longer than the other runs that its start and end weigh little.
-_SHARE_TIMES = 4
+_PROBE_INTERVAL_S = 0.02
+# The load of one entry when a fleet of the design size is at its peak.
+_DESIGN_RATE_PER_S = 15.0
+_DESIGN_ANSWER_TOKENS = 470
+# Lengthens the run at the design load, to reduce the effect of start and end.
+_DESIGN_RUN_FACTOR = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """What one run cost.
+    """The cost of one run.
 
     Attributes:
-        processor_s: Processor time of the entry.
-        requests: Whole answers.
-        tokens: Tokens relayed.
-        prompt_tokens: Prompt tokens taken in.
-        took_s: Wall time.
-        first_p99_s: 99th percentile of the time to the first token.
+        processor_s: Processor time of the entry, in seconds.
+        requests: Number of requests with a complete answer.
+        tokens: Tokens of these answers.
+        prompt_tokens: Tokens of the prompts of these requests.
+        duration_s: Wall time, in seconds.
+        first_p99_s: 99th percentile of the time to the first token, in
+            seconds.
     """
 
     processor_s: float
     requests: int
     tokens: int
     prompt_tokens: int
-    took_s: float
+    duration_s: float
     first_p99_s: float
 
 
@@ -76,46 +77,52 @@
         time.sleep(_IDLE_S)
         idle = (processor_s(entry) - before) / _IDLE_S
         _print("idle entry, processor", idle, "core")
-        few = _run(system, mix, seed)
-        many = _run(
+        base = _run(system, mix, seed)
+        long_answers = _run(
             system,
             _mix(seconds, answer_tokens=200, prompt_tokens=1_000),
             seed,
         )
-        big = _run(
+        long_prompts = _run(
             system,
             _mix(seconds, answer_tokens=16, prompt_tokens=16_000),
             seed,
         )
-        _slopes(idle, few, many, big)
-        asyncio.run(_at_share(system, _SHARE_TIMES * seconds, seed))
+        _print_slopes(idle, base, long_answers, long_prompts)
+        asyncio.run(
+            _measure_design_load(system, _DESIGN_RUN_FACTOR * seconds, seed)
+        )
         _print("loaded entry, resident", resident_bytes(entry) / 1e6, "MB")
 
 
 def processor_s(process: processes.Process) -> float:
-    """Returns the processor time that a process has used, in seconds."""
+    """Returns the processor time that a process has used so far."""
     stat = pathlib.Path(f"/proc/{process.pid}/stat").read_text()
     fields = stat.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def resident_bytes(process: processes.Process) -> int:
-    """Returns the resident memory of a process."""
+    """Returns the resident memory of a process, in bytes."""
     statm = pathlib.Path(f"/proc/{process.pid}/statm").read_text()
     return int(statm.split()[1]) * _PAGE_BYTES
 
 
-def _slopes(idle: float, few: Run, many: Run, big: Run) -> None:
-    token_s = (many.processor_s - few.processor_s) / (many.tokens - few.tokens)
-    prompt_s = (big.processor_s - few.processor_s) / (
-        big.prompt_tokens - few.prompt_tokens
+def _print_slopes(
+    idle: float, base: Run, long_answers: Run, long_prompts: Run
+) -> None:
+    token_s = (long_answers.processor_s - base.processor_s) / (
+        long_answers.tokens - base.tokens
+    )
+    prompt_s = (long_prompts.processor_s - base.processor_s) / (
+        long_prompts.prompt_tokens - base.prompt_tokens
     )
     request_s = (
-        few.processor_s
-        - idle * few.took_s
-        - token_s * few.tokens
-        - prompt_s * few.prompt_tokens
-    ) / few.requests
+        base.processor_s
+        - idle * base.duration_s
+        - token_s * base.tokens
+        - prompt_s * base.prompt_tokens
+    ) / base.requests
     _print("a relayed token, processor", token_s * 1e6, "us")
     _print("a prompt token, processor", prompt_s * 1e6, "us")
     _print("a request without these, processor", request_s * 1e6, "us")
@@ -136,34 +143,36 @@
         seed=seed,
         expected=load.expected_of_standins(mix),
     )
-    whole = [s for s in res.samples if s.code == result.OK]
-    if len(whole) < len(res.samples):
+    complete = [s for s in res.samples if s.code == result.OK]
+    if len(complete) < len(res.samples):
         codes = result.summarise(res).outcomes
         print(f"  not all answers were whole: {codes}")
     return Run(
         processor_s(entry) - before,
-        len(whole),
-        sum(s.answer_tokens for s in whole),
-        sum(s.prompt_tokens for s in whole),
+        len(complete),
+        sum(s.answer_tokens for s in complete),
+        sum(s.prompt_tokens for s in complete),
         time.monotonic() - begin,
-        result.percentile_s([s.first_s for s in whole], 99),
+        result.percentile_s([s.first_s for s in complete], 99),
     )
 
 
-async def _at_share(system: fleet.Fleet, seconds: float, seed: int) -> None:
-    """Loads the entry with its share, and probes what it adds meanwhile."""
+async def _measure_design_load(
+    system: fleet.Fleet, seconds: float, seed: int
+) -> None:
+    """Measures the delay that the entry adds to a call at the design load."""
     mix = _mix(
         seconds,
-        answer_tokens=_SHARE_ANSWER_TOKENS,
+        answer_tokens=_DESIGN_ANSWER_TOKENS,
         prompt_tokens=1_000,
-        rate_per_s=_SHARE_RATE_PER_S,
+        rate_per_s=_DESIGN_RATE_PER_S,
     )
-    probing = asyncio.create_task(_probe(system, mix))
+    probes = asyncio.create_task(_probe(system, mix))
     run = await _offer(system, mix, seed)
-    direct, through = await probing
-    _print("at its share, requests", run.requests / run.took_s, "1/s")
-    _print("at its share, tokens", run.tokens / run.took_s, "1/s")
-    _print("at its share, processor", run.processor_s / run.took_s, "core")
+    direct, through = await probes
+    _print("at its share, requests", run.requests / run.duration_s, "1/s")
+    _print("at its share, tokens", run.tokens / run.duration_s, "1/s")
+    _print("at its share, processor", run.processor_s / run.duration_s, "core")
     for percent in (50, 99):
         added = result.percentile_s(through, percent)
         added -= result.percentile_s(direct, percent)
@@ -175,28 +184,32 @@
 async def _probe(
     system: fleet.Fleet, mix: mixes.LoadSettings
 ) -> tuple[list[float], list[float]]:
-    """Calls a service directly and through the entry, in turn."""
+    """Calls a service directly and through the entry, alternately.
+
+    Returns:
+        The durations of the direct calls and of the others, in seconds.
+    """
     name = mixes.organisation_names(mix)[0]
     headers = {"Authorization": f"Bearer {mixes.organisation_token(name)}"}
-    ways = (
+    urls = (
         f"http://{system.services[0].address}/check",
         f"http://{system.addresses()[0]}/v1/services/{mix.services.name}/check",
     )
     times: tuple[list[float], list[float]] = ([], [])
     async with aiohttp.ClientSession(headers=headers) as session:
         for _ in range(_PROBES):
-            for url, seen in zip(ways, times, strict=True):
+            for url, durations in zip(urls, times, strict=True):
                 begin = time.perf_counter()
                 async with session.get(url) as response:
                     await response.read()
                     response.raise_for_status()
-                seen.append(time.perf_counter() - begin)
-            await asyncio.sleep(_PROBE_PAUSE_S)
+                durations.append(time.perf_counter() - begin)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
     return times
 
 
-def _p99_ms(values: list[float]) -> float:
-    return result.percentile_s(values, 99) * 1e3
+def _p99_ms(times_s: list[float]) -> float:
+    return result.percentile_s(times_s, 99) * 1e3
 
 
 def _mix(
--- a/bench/schedules.py
+++ b/bench/schedules.py
@@ -1,7 +1,7 @@
-"""Randomised schedules of faults, put on a running system under mixed load.
+"""Runs randomised schedules of faults against a system under mixed load.
 
-The same seed gives the same faults at the same offsets and the same calls;
-how the processes' steps interleave is up to the machine.
+A seed determines the faults, their offsets and the calls, but not how the
+steps of the processes interleave.
 """
 
 import asyncio
@@ -17,16 +17,23 @@
 
 LOAD_S = 1.0
 _CALLS = 14
-_LONGEST_FAULT_S = 0.9
-_LIMIT_S = 3.0
-_LONG_TOKENS = 2000
-# Under the 0.5 s of drain_lag_s in tests.
+_MAX_FAULT_S = 0.9
+_CALL_TIMEOUT_S = 3.0
+_LONG_ANSWER_TOKENS = 2000
+# Must stay below the drain_lag_s of the entries under test.
 _BALANCER_LAG_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One fault: its kind, when it begins, and how long it lasts."""
+    """One fault of a schedule.
+
+    Attributes:
+        kind: Name of the fault in faults.FAULTS.
+        start_s: Offset from the start of the schedule, in seconds.
+        lasts_s: Duration, in seconds.
+        seed: Seed of the draws that the fault makes.
+    """
 
     kind: str
     start_s: float
@@ -36,14 +43,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """Faults of one run, and the seed of its calls."""
+    """The faults of one run.
+
+    Attributes:
+        seed: Seed of the faults and the calls.
+        steps: The faults.
+    """
 
     seed: str
     steps: tuple[Step, ...]
 
 
 def draw(seed: str) -> Schedule:
-    """Draws a schedule: faults together or one after another, maybe twice."""
+    """Draws a schedule.
+
+    The faults start close together or one after another; sometimes the whole
+    sequence occurs twice.
+    """
     rng = random.Random(seed)
     kinds = rng.sample(sorted(faults.FAULTS), rng.randint(1, 3))
     kinds *= rng.choice((1, 1, 2))
@@ -51,36 +67,38 @@
     steps = []
     start_s = rng.uniform(0, 0.4)
     for kind in kinds:
-        lasts_s = rng.uniform(0.05, _LONGEST_FAULT_S)
-        number = rng.randrange(1 << 30)
-        steps.append(Step(kind, round(start_s, 3), round(lasts_s, 3), number))
-        start_s += rng.uniform(0, 0.15) if together else lasts_s
+        duration_s = rng.uniform(0.05, _MAX_FAULT_S)
+        fault_seed = rng.randrange(1 << 30)
+        steps.append(
+            Step(kind, round(start_s, 3), round(duration_s, 3), fault_seed)
+        )
+        start_s += rng.uniform(0, 0.15) if together else duration_s
     return Schedule(seed, tuple(steps))
 
 
 async def run(case, trial: trials.Trial, schedule: Schedule) -> None:
-    """Runs the calls and the faults, then takes all faults off."""
+    """Makes the calls and injects the faults, then clears all faults."""
     rng = random.Random(f"calls {schedule.seed}")
-    begun = [
-        asyncio.create_task(_fault(case, trial, step))
+    fault_tasks = [
+        asyncio.create_task(_inject(case, trial, step))
         for step in schedule.steps
     ]
-    await _load(trial, rng, schedule.seed)
-    await asyncio.gather(*begun)
+    await _make_calls(trial, rng, schedule.seed)
+    await asyncio.gather(*fault_tasks)
     await _recover(trial)
     async with asyncio.timeout(faults.RECOVERY_S):
         await asyncio.gather(*trial.tasks)
 
 
-async def _fault(case, trial: trials.Trial, step: Step) -> None:
+async def _inject(case, trial: trials.Trial, step: Step) -> None:
     await asyncio.sleep(step.start_s)
     rng = random.Random(step.seed)
     await faults.FAULTS[step.kind](case, trial, rng, step.lasts_s)
 
 
 async def _recover(trial: trials.Trial) -> None:
-    """Takes all faults off and waits until all entries admit work."""
-    await asyncio.to_thread(_heal, trial.system)
+    """Clears all faults and waits until all entries admit work."""
+    await asyncio.to_thread(_clear_faults, trial.system)
     for name, entry in trial.system.entries.items():
         await trials.until(
             lambda entry=entry: trials.admits(entry),
@@ -90,7 +108,7 @@
         await asyncio.to_thread(trials.read_configuration, trial, name)
 
 
-def _heal(system: systems.System) -> None:
+def _clear_faults(system: systems.System) -> None:
     trials.heal(system)
     system.platform.control(
         outage=[],
@@ -109,44 +127,50 @@
         )
 
 
-async def _load(trial: trials.Trial, rng: random.Random, seed: str) -> None:
+async def _make_calls(
+    trial: trials.Trial, rng: random.Random, seed: str
+) -> None:
     for number in range(_CALLS):
         await asyncio.sleep(rng.uniform(0, 2 * LOAD_S / _CALLS))
-        want = _draw_call(rng, f"{seed}-{number}")
+        request = _draw_call(rng, f"{seed}-{number}")
         entries = sorted(trial.system.entries)
-        copies = 2 if want.key and rng.random() < 0.6 else 1
+        copies = 2 if request.key and rng.random() < 0.6 else 1
         for drawn in rng.sample(entries, copies):
-            entry = _balanced(trial, drawn)
-            gone_s = rng.uniform(0, 1) if rng.random() < 0.15 else None
-            call = _call(trial, rng.choice(entries), entry, want, gone_s)
+            entry = _choose_by_balancer(trial, drawn)
+            abandon_after_s = rng.uniform(0, 1) if rng.random() < 0.15 else None
+            call = _call(
+                trial, rng.choice(entries), entry, request, abandon_after_s
+            )
             trial.tasks.append(asyncio.create_task(call))
 
 
-def _balanced(trial: trials.Trial, drawn: str) -> str:
-    """Returns the entry that the platform's balancer would take.
+def _choose_by_balancer(trial: trials.Trial, drawn: str) -> str:
+    """Returns the entry that the platform's balancer would choose.
 
-    It goes on sending to a stopping entry for a while, less than that entry's
-    drain_lag_s, as the operators' page demands.
+    The balancer still sends calls to a stopping entry for a time that is
+    shorter than the drain_lag_s of that entry.
     """
-    told = trial.leaving.get(drawn)
-    if told is None or time.monotonic() - told < _BALANCER_LAG_S:
+    stopped_at = trial.leaving.get(drawn)
+    if stopped_at is None or time.monotonic() - stopped_at < _BALANCER_LAG_S:
         return drawn
-    others = [e for e in sorted(trial.system.entries) if e not in trial.leaving]
-    return others[0] if others else drawn
+    running = [
+        e for e in sorted(trial.system.entries) if e not in trial.leaving
+    ]
+    return running[0] if running else drawn
 
 
 def _draw_call(rng: random.Random, name: str) -> callers.Ask:
-    keyed = rng.random() < 0.5
-    service = rng.random() < 0.4
+    has_key = rng.random() < 0.5
+    is_service = rng.random() < 0.4
     return callers.Ask(
         name,
         organisation=rng.choice(systems.ORGANISATIONS),
-        tokens=rng.choice((3, 10, 40, _LONG_TOKENS)),
-        key=name if keyed else "",
-        repeatable=not keyed and not service,
-        limit_s=_LIMIT_S,
+        tokens=rng.choice((3, 10, 40, _LONG_ANSWER_TOKENS)),
+        key=name if has_key else "",
+        repeatable=not has_key and not is_service,
+        limit_s=_CALL_TIMEOUT_S,
         resumable=rng.random() < 0.5,
-        service=service,
+        service=is_service,
     )
 
 
@@ -154,15 +178,18 @@
     trial: trials.Trial,
     other: str,
     entry: str,
-    want: callers.Ask,
-    gone_s: float | None,
+    request: callers.Ask,
+    abandon_after_s: float | None,
 ) -> None:
-    """Makes a call; its caller may go away, or read on elsewhere."""
-    task, seen = trials.begin(trial, entry, want)
-    if gone_s is not None:
-        await asyncio.wait([task], timeout=gone_s)
+    """Makes a call.
+
+    Its caller may abandon it, or resume a cut answer at another entry.
+    """
+    task, seen = trials.begin(trial, entry, request)
+    if abandon_after_s is not None:
+        await asyncio.wait([task], timeout=abandon_after_s)
         task.cancel()
     call = await task
-    cut = call.outcome is history.Outcome.CUT
-    if cut and want.resumable and seen.stream and other != entry:
-        await trials.resume(trial, other, want, seen)
+    was_cut = call.outcome is history.Outcome.CUT
+    if was_cut and request.resumable and seen.stream and other != entry:
+        await trials.resume(trial, other, request, seen)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,4 @@
-"""Runs randomised schedules of faults and checks the promises.
+"""Runs randomised schedules of faults and checks the guarantees to callers.
 
 Run as `python -m bench.soak`.
 
@@ -11,7 +11,8 @@
   --first I      Number of the first schedule, to run one again. [default: 0]
   --seconds T    Stop beginning schedules after this time. [default: 3600]
 
-Prints each broken promise with the schedule's seed; exit status 1 if any.
+Prints each violated guarantee with the seed of its schedule. The exit status is
+1 if a guarantee was violated or a schedule could not be completed.
 """
 
 import asyncio
@@ -29,14 +30,15 @@
 
 __all__ = ["main", "run_schedule"]
 
-# A new system now and then: the stand-ins keep all that ever ran, and asking
-# them would take longer and longer.
-_SCHEDULES_A_SYSTEM = 25
-_SPREAD_OVER = 60
+# Bounds the records that the stand-ins keep of the requests that they ran: all
+# of them are read after each schedule.
+_SCHEDULES_PER_SYSTEM = 25
+# Bounds the configuration records that are kept for later schedules.
+_MAX_KEPT_RECORDS = 60
 
 
 class _Totals:
-    """What the whole soak saw."""
+    """Counts over all schedules of a soak."""
 
     def __init__(self):
         self.schedules = 0
@@ -51,16 +53,16 @@
     args = docopt.docopt(__doc__, argv)
     first = int(args["--first"])
     end = first + int(args["--schedules"])
-    give_up = time.monotonic() + float(args["--seconds"])
-    begun = time.monotonic()
+    deadline = time.monotonic() + float(args["--seconds"])
+    started = time.monotonic()
     totals = _Totals()
     number = first
-    while number < end and time.monotonic() < give_up:
-        last = min(end, number + _SCHEDULES_A_SYSTEM)
+    while number < end and time.monotonic() < deadline:
+        last = min(end, number + _SCHEDULES_PER_SYSTEM)
         number = asyncio.run(
-            _batch(args["--seed"], number, last, give_up, totals)
+            _run_on_one_system(args["--seed"], number, last, deadline, totals)
         )
-    took_s = time.monotonic() - begun
+    took_s = time.monotonic() - started
     print(
         f"{totals.schedules} schedules in {took_s:.0f} s, "
         f"{totals.broken} broken promises, {totals.failed} not run to the end"
@@ -70,18 +72,22 @@
     return 1 if totals.broken or totals.failed else 0
 
 
-async def _batch(seed, first, last, give_up, totals) -> int:
-    """Runs schedules on one system; returns the next one's number."""
+async def _run_on_one_system(seed, first, last, deadline, totals) -> int:
+    """Runs schedules on one system until one fails or time is up.
+
+    Returns:
+        The number of the schedule to run next.
+    """
     case = unittest.TestCase()
     system = start_system(case)
     before = history.History()
     try:
         for number in range(first, last):
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 return number
             name = f"{seed}/{number}"
-            if not await _one(case, system, name, before, totals):
-                # What a broken promise left behind must not count twice.
+            if not await _run_and_check(case, system, name, before, totals):
+                # A new system keeps later schedules free of its effects.
                 return number + 1
         return last
     finally:
@@ -89,7 +95,7 @@
 
 
 def start_system(case) -> systems.System:
-    """Starts a system for schedules."""
+    """Starts a system that schedules can run on."""
     return systems.start_system(
         case,
         entries=3,
@@ -99,8 +105,8 @@
     )
 
 
-async def _one(case, system, name, before, totals) -> bool:
-    """Runs one schedule; returns whether the system can go on."""
+async def _run_and_check(case, system, name, before, totals) -> bool:
+    """Runs one schedule; returns whether it completed without violations."""
     schedule = schedules.draw(name)
     totals.schedules += 1
     totals.kinds.update(step.kind for step in schedule.steps)
@@ -111,20 +117,22 @@
         print(f"seed {name}: not run to the end: {error!r}", flush=True)
         print(f"  {schedule}")
         return False
-    broken = history.check(trial.history)
-    totals.broken += len(broken)
+    violations = history.check(trial.history)
+    totals.broken += len(violations)
     totals.outcomes.update(c.outcome.value for c in trial.history.calls)
-    for one in broken:
-        print(f"seed {name}: {one.promise}: {one.detail}", flush=True)
-    if broken:
+    for violation in violations:
+        print(
+            f"seed {name}: {violation.promise}: {violation.detail}", flush=True
+        )
+    if violations:
         print(f"  {schedule}")
-        _print_logs(system, broken)
-    return not broken
+        _print_logs(system, violations)
+    return not violations
 
 
-def _print_logs(system: systems.System, broken) -> None:
-    """Prints the log lines of the requests that broke promises."""
-    requests = {one.detail.split()[0] for one in broken}
+def _print_logs(system: systems.System, violations) -> None:
+    """Prints the log lines of the requests whose guarantees were violated."""
+    requests = {violation.detail.split()[0] for violation in violations}
     processes = system.entries | system.targets()
     for process in processes.values():
         for line in process.log().splitlines():
@@ -135,22 +143,26 @@
 async def run_schedule(
     case, system, schedule, before: history.History
 ) -> trials.Trial:
-    """Runs one schedule and returns its trial, with the runs collected.
+    """Runs one schedule and collects what the targets ran.
 
     Args:
-        case: Gets the clean-ups.
+        case: Test case that runs the clean-ups.
         system: A running system.
-        schedule: What to run.
-        before: Keeps what later schedules on this system are judged by too.
+        schedule: The schedule.
+        before: Configuration records of earlier schedules on this system,
+            which are checked again and extended.
+
+    Returns:
+        The trial, whose history is ready to be checked.
     """
-    # Sent over fresh connections, as by callers on poor networks.
+    # A session of its own makes each schedule open new connections.
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0)
     ) as session:
         trial = trials.Trial(system, session, history.History())
         for name in ("reads", "accepted"):
             kept = getattr(before, name)
-            del kept[:-_SPREAD_OVER]
+            del kept[:-_MAX_KEPT_RECORDS]
             setattr(trial.history, name, kept)
         await schedules.run(case, trial, schedule)
         await trials.memory_back(trial)
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,4 +1,4 @@
-"""Measures the spread of changes among very many entries, in processes.
+"""Measures how fast configuration changes reach a large number of entries.
 
 Usage:
   spread [--entries=N] [--each=N] [--changes=N] [--organisations=N]
@@ -35,21 +35,21 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parents[1]
 _SETTLE_S = 8.0
-_IDLE_S = 6.0
-# Past the entries' confirm_s, after which they ask all members.
-_UNPROVED_S = 10.0
-_PAUSE_S = 1.37
-_LIMIT_S = 60.0
-_STOP_S = 10.0
+_SAMPLE_S = 6.0
+# Exceeds the entries' confirm_s, after which they query all members.
+_UNCONFIRMED_S = 10.0
+_CHANGE_INTERVAL_S = 1.37
+_TIMEOUT_S = 60.0
+_STOP_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass
-class Group:
-    """A process of entries.
+class EntryGroup:
+    """A process that runs several entries.
 
     Attributes:
         popen: The process.
-        output: What it prints.
+        output: File with its standard output.
     """
 
     popen: subprocess.Popen
@@ -57,20 +57,20 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         return self.popen.pid
 
     def versions(self) -> list[tuple[int, float]]:
         """Returns each adoption as (version, monotonic time)."""
-        lines = [x.split() for x in self.output.read_text().splitlines()]
-        return [(int(x[2]), float(x[3])) for x in lines if len(x) == 4]
+        lines = [line.split() for line in self.output.read_text().splitlines()]
+        return [(int(f[2]), float(f[3])) for f in lines if len(f) == 4]
 
 
 def main() -> None:
     """Runs the command line."""
-    given = docopt.docopt(__doc__)
-    outage = given.pop("--outage")
-    args = {k: int(v) for k, v in given.items()}
+    options = docopt.docopt(__doc__)
+    outage = options.pop("--outage")
+    args = {k: int(v) for k, v in options.items()}
     with fleet.Cleanups() as cleanups:
         platform = processes.launch(cleanups, "platform", {})
         asyncio.run(_configure(platform.address, args))
@@ -81,17 +81,17 @@
         for group in groups:
             processes.wait_until(
                 lambda group=group: "ready" in group.output.read_text(),
-                _LIMIT_S,
+                _TIMEOUT_S,
                 "entries listen",
             )
         time.sleep(_SETTLE_S)
-        _idle(platform, groups, args["--entries"])
-        _changes(platform.address, groups, args)
+        _measure_idle(platform, groups, args["--entries"])
+        _measure_changes(platform.address, groups, args)
         if outage:
-            _outage(platform, groups, args["--entries"])
+            _measure_outage(platform, groups, args["--entries"])
 
 
-def _start(cleanups, platform: str, first: int, args) -> Group:
+def _start(cleanups, platform: str, first: int, args) -> EntryGroup:
     folder = tempfile.TemporaryDirectory(prefix="copperloom-")
     cleanups.callback(folder.cleanup)
     output = pathlib.Path(folder.name) / "stdout"
@@ -107,13 +107,13 @@
             env=os.environ | {"PYTHONUNBUFFERED": "1"},
         )
     cleanups.callback(_end, popen)
-    return Group(popen, output)
+    return EntryGroup(popen, output)
 
 
 def _end(popen: subprocess.Popen) -> None:
     popen.terminate()
     with contextlib.suppress(subprocess.TimeoutExpired):
-        popen.wait(_STOP_S)
+        popen.wait(_STOP_TIMEOUT_S)
     popen.kill()
     popen.wait()
 
@@ -139,7 +139,7 @@
 
 
 async def _change(platform: str, cfg, entities) -> float:
-    """Makes a change; returns the monotonic time of its confirmation."""
+    """Makes a change; returns the monotonic time when it was confirmed."""
     run = cluster.Cluster(None, client=platform_http.connect(platform))
     run.cfg = cfg
     try:
@@ -148,67 +148,70 @@
         await run.client.close()
 
 
-def _idle(platform, groups: list[Group], entries: int) -> None:
+def _measure_idle(platform, groups: list[EntryGroup], entries: int) -> None:
     before = [relay.processor_s(g) for g in groups]
-    calls, at = platform.truth()["calls"], relay.processor_s(platform)
-    time.sleep(_IDLE_S)
+    calls_before, platform_before = (
+        platform.truth()["calls"],
+        relay.processor_s(platform),
+    )
+    time.sleep(_SAMPLE_S)
     used = sum(relay.processor_s(g) for g in groups) - sum(before)
-    now = platform.truth()["calls"]
+    calls = platform.truth()["calls"]
     print(f"{entries} entries in {len(groups)} processes")
-    _print("idle entry, processor", used / _IDLE_S / entries, "core")
-    share = (relay.processor_s(platform) - at) / _IDLE_S
+    _print("idle entry, processor", used / _SAMPLE_S / entries, "core")
+    share = (relay.processor_s(platform) - platform_before) / _SAMPLE_S
     _print("platform stand-in, processor", share, "core")
-    for name in sorted(now):
-        rate = (now[name] - calls.get(name, 0)) / _IDLE_S
+    for name in sorted(calls):
+        rate = (calls[name] - calls_before.get(name, 0)) / _SAMPLE_S
         _print(f"platform calls, {name}", rate, "1/s")
     resident = max(relay.resident_bytes(g) for g in groups)
     _print("largest process, resident", resident / 1e6, "MB")
 
 
-def _outage(platform, groups: list[Group], entries: int) -> None:
-    """Measures what entries spend that have no proof from the platform."""
+def _measure_outage(platform, groups: list[EntryGroup], entries: int) -> None:
+    """Measures the entries' processor time while the table is down."""
     platform.control(outage=["table"])
-    time.sleep(_UNPROVED_S)
+    time.sleep(_UNCONFIRMED_S)
     before = sum(relay.processor_s(g) for g in groups)
-    time.sleep(_IDLE_S)
+    time.sleep(_SAMPLE_S)
     used = sum(relay.processor_s(g) for g in groups) - before
-    _print("in an outage, entry, processor", used / _IDLE_S / entries, "core")
+    _print("in an outage, entry, processor", used / _SAMPLE_S / entries, "core")
 
 
-def _changes(platform: str, groups: list[Group], args) -> None:
-    confirmed = {}
+def _measure_changes(platform: str, groups: list[EntryGroup], args) -> None:
+    confirmed_at = {}
     used = sum(relay.processor_s(g) for g in groups)
     begin = time.monotonic()
     for index in range(args["--changes"]):
         name = plan.PEAK if index % 2 else plan.ORDINARY
         cfg = configuration.Configuration(version=index + 1)
         change = _change(platform, cfg, [configuration.PresetInForce(name)])
-        confirmed[index + 2] = asyncio.run(change)
-        time.sleep(_PAUSE_S)
-    last = args["--changes"] + 1
+        confirmed_at[index + 2] = asyncio.run(change)
+        time.sleep(_CHANGE_INTERVAL_S)
+    last_version = args["--changes"] + 1
     processes.wait_until(
-        lambda: _count(groups, last) == args["--entries"],
-        _LIMIT_S,
+        lambda: _count_adopted(groups, last_version) == args["--entries"],
+        _TIMEOUT_S,
         "all entries have the last version",
     )
-    took = time.monotonic() - begin
+    duration_s = time.monotonic() - begin
     used = sum(relay.processor_s(g) for g in groups) - used
     delays = [
-        max(0.0, at - confirmed[version])
+        max(0.0, adopted_at - confirmed_at[version])
         for group in groups
-        for version, at in group.versions()
-        if version in confirmed
+        for version, adopted_at in group.versions()
+        if version in confirmed_at
     ]
     _print("adoptions seen", len(delays), "")
     for percent in (50, 99):
         value = result.percentile_s(delays, percent)
         _print(f"change in force, p{percent}", value, "s")
     _print("change in force, longest", max(delays), "s")
-    share = used / took / args["--entries"]
+    share = used / duration_s / args["--entries"]
     _print("entry while changing, processor", share, "core")
 
 
-def _count(groups: list[Group], version: int) -> int:
+def _count_adopted(groups: list[EntryGroup], version: int) -> int:
     return sum(v >= version for g in groups for v, _ in g.versions())
 
 
