--- a/bench/frontsoak/__init__.py
+++ b/bench/frontsoak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomised soak of copperloom-front: processes, faults from outside."""
+"""A randomised soak of copperloom-front, which injects faults from outside."""
--- a/bench/frontsoak/callers.py
+++ b/bench/frontsoak/callers.py
@@ -1,50 +1,57 @@
-"""Callers of a schedule: they keep their connections and ask on and on."""
+"""Simulates callers that keep their connections and call continuously."""
 
 import asyncio
 import random
 
 import aiohttp
 
-from bench.frontsoak.world import Got, World
+from bench.frontsoak.world import CallResult, World
 from copperloom.ingress.tests import fixtures
 from copperloom.platform.standins import wire
 
-__all__ = ["WAIT_S", "call_on"]
+__all__ = ["REQUEST_TIMEOUT_S", "call_on"]
 
-# How long a caller says that it will wait.
-WAIT_S = 2.5
-# How long it does wait: longer, to see answers that come too late.
-_LISTEN_S = WAIT_S + 4.0
-_KINDS = (
+# Timeout that a caller sends with its request.
+REQUEST_TIMEOUT_S = 2.5
+# Exceeds the timeout sent, so that late answers are seen.
+_CLIENT_TIMEOUT_S = REQUEST_TIMEOUT_S + 4.0
+# Path, method and number of prompt tokens of each kind of request.
+_REQUESTS = (
     ("/read/x", "GET", 0),
     ("/write/x", "POST", 0),
     ("/chat/x", "POST", 4000),
     ("/once/x", "POST", 4000),
 )
-_MOST_PAUSE_S = 0.05
+_MAX_INTERVAL_S = 0.05
 
 
 async def call_on(world: World, session, number: int) -> None:
-    """Asks any instance for anything until the schedule ends."""
+    """Makes random calls to random instances until the schedule ends."""
     rng = random.Random(world.rng.random())
     sequence = 0
     while not world.stopping:
         sequence += 1
         front = rng.choice(world.fronts)
-        name = f"c{number}-{sequence}"
-        got = await _ask(session, front, name, *rng.choice(_KINDS))
-        if got is not None:
-            world.got.append(got)
-        await asyncio.sleep(rng.uniform(0.0, _MOST_PAUSE_S))
+        request_id = f"c{number}-{sequence}"
+        result = await _call(session, front, request_id, *rng.choice(_REQUESTS))
+        if result is not None:
+            world.got.append(result)
+        await asyncio.sleep(rng.uniform(0.0, _MAX_INTERVAL_S))
 
 
-async def _ask(session, front, name, path, method, prompt) -> Got | None:
-    """Asks once; None if no connection could be made."""
+async def _call(
+    session, front, request_id, path, method, prompt_tokens
+) -> CallResult | None:
+    """Makes one call; returns None if no connection could be opened."""
     loop = asyncio.get_running_loop()
     headers = wire.caller_headers(
-        fixtures.HOST, name, fixtures.KEY, WAIT_S, prompt
+        fixtures.HOST,
+        request_id,
+        fixtures.KEY,
+        REQUEST_TIMEOUT_S,
+        prompt_tokens,
     )
-    begun = loop.time()
+    started_at = loop.time()
     body = b""
     status = 0
     whole = False
@@ -54,17 +61,24 @@
             f"http://{front.address}{path}",
             headers=headers,
             data=b"q" if method == "POST" else None,
-            timeout=aiohttp.ClientTimeout(total=_LISTEN_S),
+            timeout=aiohttp.ClientTimeout(total=_CLIENT_TIMEOUT_S),
         ) as resp:
             status = resp.status
-            async for part in resp.content.iter_any():
-                body += part
+            async for chunk in resp.content.iter_any():
+                body += chunk
             whole = True
     except aiohttp.ClientConnectorError:
         return None
     except (aiohttp.ClientError, TimeoutError, OSError):
-        # The answer broke off; what came until then is judged.
+        # What was received until the connection broke is still checked.
         whole = False
-    return Got(
-        path, name, front.number, status, body, whole, begun, loop.time()
+    return CallResult(
+        path,
+        request_id,
+        front.number,
+        status,
+        body,
+        whole,
+        started_at,
+        loop.time(),
     )
--- a/bench/frontsoak/faults.py
+++ b/bench/frontsoak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside: signals, links, the table, targets and operators."""
+"""Injects faults through signals, links, the table, targets and operators."""
 
 import asyncio
 import signal
@@ -8,9 +8,9 @@
 from copperloom.platform.standins import target as target_standin
 from copperloom.standins import proxy
 
-__all__ = ["disturb"]
+__all__ = ["inject_faults"]
 
-_ANSWERS = (
+_TARGET_FAULTS = (
     target_standin.Fault.REFUSE,
     target_standin.Fault.RESET,
     target_standin.Fault.TRUNCATE,
@@ -20,7 +20,6 @@
     target_standin.Fault.BREAK,
     target_standin.Fault.HALF_EVENT,
 )
-# What a link does for a while.
 _DELAYED = ({"delay_s": 0.05}, {"delay_s": 0.3})
 _SILENT = (
     {"drop_up": True},
@@ -29,22 +28,22 @@
     {"hold_down": True},
     {"half_open": True},
 )
-_MOST_AT_ONCE = 4
+_MAX_CONCURRENT = 4
 
 
-async def disturb(world: World) -> None:
-    """Plays faults in series, several of them at once, until the end."""
+async def inject_faults(world: World) -> None:
+    """Injects random faults, partly concurrent, until the schedule ends."""
     loop = asyncio.get_running_loop()
     end = loop.time() + world.sizes.seconds
-    under_way: set[asyncio.Task] = set()
+    active: set[asyncio.Task] = set()
     while loop.time() < end:
         await asyncio.sleep(world.rng.uniform(0.05, 0.6))
-        if len(under_way) < _MOST_AT_ONCE:
+        if len(active) < _MAX_CONCURRENT:
             fault = world.rng.choice(_FAULTS)
             task = asyncio.ensure_future(fault(world))
-            under_way.add(task)
-            task.add_done_callback(under_way.discard)
-    await asyncio.gather(*under_way)
+            active.add(task)
+            task.add_done_callback(active.discard)
+    await asyncio.gather(*active)
 
 
 async def _kill(world: World) -> None:
@@ -78,44 +77,46 @@
     world.rng.choice(world.fronts).signal(signal.SIGHUP)
 
 
-async def _store_down(world: World) -> None:
+async def _take_table_down(world: World) -> None:
     world.store.down = world.rng.choice((503, 429))
     await asyncio.sleep(world.rng.uniform(0.2, 1.5))
     world.store.down = None
 
 
-async def _store_forgets(world: World) -> None:
+async def _forget_table_history(world: World) -> None:
     world.store.forget_history()
 
 
-async def _store_link(world: World) -> None:
+async def _fault_table_link(world: World) -> None:
     front = world.rng.choice(world.fronts)
-    how = world.rng.choice((*_DELAYED, *_SILENT, {"refuse": True}))
-    await _bad_link(world, front.store_link, how)
+    link_faults = world.rng.choice((*_DELAYED, *_SILENT, {"refuse": True}))
+    await _fault_link(world, front.table_link, link_faults)
 
 
-async def _target_link(world: World) -> None:
+async def _fault_target_link(world: World) -> None:
     name = world.rng.choice(list(world.links))
-    how = world.rng.choice((*_DELAYED, *_SILENT, {"refuse": True}))
-    if how in _SILENT:
+    link_faults = world.rng.choice((*_DELAYED, *_SILENT, {"refuse": True}))
+    if link_faults in _SILENT:
         world.silenced.add(name)
-    await _bad_link(world, world.links[name], how)
+    await _fault_link(world, world.links[name], link_faults)
 
 
-async def _bad_link(world: World, link: proxy.Pair, how: dict) -> None:
-    link.faults = proxy.PairFaults(**how)
+async def _fault_link(
+    world: World, link: proxy.Pair, link_faults: dict
+) -> None:
+    link.faults = proxy.PairFaults(**link_faults)
     await asyncio.sleep(world.rng.uniform(0.2, 1.5))
     link.faults = proxy.PairFaults()
 
 
 async def _reset_link(world: World) -> None:
-    links = [*world.links.values(), *(f.store_link for f in world.fronts)]
+    links = [*world.links.values(), *(f.table_link for f in world.fronts)]
     proxy.reset(world.rng.choice(links))
 
 
-async def _bad_answers(world: World) -> None:
+async def _fault_target(world: World) -> None:
     target = world.rng.choice(list(world.targets.values()))
-    kind = world.rng.choice(_ANSWERS)
+    kind = world.rng.choice(_TARGET_FAULTS)
     target.faults.extend([kind] * world.rng.randint(1, 4))
 
 
@@ -126,9 +127,9 @@
     world.register(name)
 
 
-async def _spoil_rows(world: World) -> None:
-    spoiled = (b"\xff", {"state": "ready"}, {"service": 1, "address": []})
-    for number, row in enumerate(spoiled):
+async def _corrupt_rows(world: World) -> None:
+    malformed = (b"\xff", {"state": "ready"}, {"service": 1, "address": []})
+    for number, row in enumerate(malformed):
         world.store.put("servers", f"spoiled-{number}", row)
     world.store.put("op", "config", {"version": "none"})
     world.store.put("op", "config", fixtures.routes(world.version))
@@ -149,15 +150,15 @@
     _terminate,
     _terminate_in_turn,
     _reload,
-    _store_down,
-    _store_forgets,
-    _store_link,
-    _target_link,
-    _target_link,
+    _take_table_down,
+    _forget_table_history,
+    _fault_table_link,
+    _fault_target_link,
+    _fault_target_link,
     _reset_link,
-    _bad_answers,
-    _bad_answers,
+    _fault_target,
+    _fault_target,
     _drain_target,
-    _spoil_rows,
+    _corrupt_rows,
     _change_routes,
 )
--- a/bench/frontsoak/main.py
+++ b/bench/frontsoak/main.py
@@ -1,4 +1,4 @@
-"""Plays schedules of faults against instances as processes.
+"""Plays randomised schedules of faults against instances that run as processes.
 
 Usage:
   frontsoak [--schedules=N] [--seed=N] [--seconds=S] [--fronts=N] [--targets=N]
@@ -11,10 +11,11 @@
   --fronts N     Instances [default: 3].
   --targets N    Targets of each service [default: 3].
 
-The table service and the targets run here, on loopback, each behind a proxy;
-every run of a request is seen. Callers keep using their connections while
+The table service and the targets run in this process, on loopback and behind
+proxies, and record every run of a request. Callers keep their connections while
 processes are killed, paused, stopped and reloaded, links are delayed, reset,
-cut one way or silenced, the table fails, targets misbehave and routes change.
+cut in one direction or silenced, the table service fails, targets misbehave and
+routes change.
 """
 
 import asyncio
@@ -29,57 +30,62 @@
 
 __all__ = ["main", "play"]
 
-# Work that callers have left ends within half a second.
-_LEAVE_S = 0.7
-# Three callers for each instance.
-_CALLERS = 3
-_MOST_SEED = 1_000_000
+# Exceeds the time in which targets must end the requests of callers that left.
+_SETTLE_S = 0.7
+_CALLERS_PER_INSTANCE = 3
+_SEED_LIMIT = 1_000_000
 
 
 async def play(
     seed: int, sizes: world.Sizes, folder: str
 ) -> list[checks.Finding]:
-    """Plays one schedule; returns what was broken."""
+    """Plays one schedule and returns the violations found.
+
+    Args:
+        seed: Seed of the schedule.
+        sizes: Number of processes and callers, and duration.
+        folder: Folder for the settings and logs of the instances.
+    """
     async with aiohttp.ClientSession() as session:
         run = await world.open_world(seed, sizes, folder, session)
         try:
-            asking = [
+            call_tasks = [
                 asyncio.ensure_future(callers.call_on(run, session, n))
                 for n in range(sizes.callers)
             ]
-            keeping = [
+            restart_tasks = [
                 asyncio.ensure_future(processes.keep(f)) for f in run.fronts
             ]
-            await faults.disturb(run)
+            await faults.inject_faults(run)
             run.stopping = True
-            await asyncio.gather(*asking)
-            for task in keeping:
+            await asyncio.gather(*call_tasks)
+            for task in restart_tasks:
                 task.cancel()
-            await asyncio.sleep(_LEAVE_S)
+            await asyncio.sleep(_SETTLE_S)
             return checks.check(run)
         finally:
             await world.close(run)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Plays schedules; returns how many broke something."""
+    """Plays the schedules; returns 1 if any of them found a violation."""
     args = docopt.docopt(__doc__, argv)
-    first = int(args["--seed"] or secrets.randbelow(_MOST_SEED))
+    first = int(args["--seed"] or secrets.randbelow(_SEED_LIMIT))
     fronts = int(args["--fronts"])
     sizes = world.Sizes(
         fronts=fronts,
         targets=int(args["--targets"]),
-        callers=fronts * _CALLERS,
+        callers=fronts * _CALLERS_PER_INSTANCE,
         seconds=float(args["--seconds"]),
     )
-    bad = 0
+    failed = 0
     for seed in range(first, first + int(args["--schedules"])):
         folder = tempfile.mkdtemp(prefix=f"frontsoak-{seed}-")
         found = asyncio.run(play(seed, sizes, folder))
-        bad += bool(found)
+        failed += bool(found)
         print(f"seed {seed}: {len(found)} broken {found[:5]} logs {folder}")
-    print(f"{bad} schedules broke something")
-    return min(bad, 1)
+    print(f"{failed} schedules broke something")
+    return min(failed, 1)
 
 
 if __name__ == "__main__":
--- a/bench/frontsoak/processes.py
+++ b/bench/frontsoak/processes.py
@@ -1,4 +1,4 @@
-"""Instances as processes, started again whenever they end."""
+"""Runs instances as processes, and restarts them whenever they end."""
 
 import asyncio
 import json
@@ -15,41 +15,45 @@
 
 __all__ = ["GRACE_S", "Front", "keep"]
 
-# A stopped process takes requests for 2.6 s more, and each may last for the 2.5
-# s that callers wait; 0.9 s are kept to end in.
+# Covers the time for which a stopping process still accepts requests, the
+# callers' timeout and the shutdown, so that no request is cut.
 GRACE_S = 6.0
 _ROOT = pathlib.Path(__file__).resolve().parents[2]
 _SETTINGS = pathlib.Path(__file__).resolve().parent / "front.ini"
-_RESTART_S = 0.2
+_RESTART_DELAY_S = 0.2
 
 
 class Front:
-    """One instance.
+    """An instance that runs as a process.
 
     Attributes:
-        number: Its number.
+        number: Number of the instance.
+        ip: IP address that it listens on.
+        ports: Ports that it listens on.
         address: IP:port for callers.
-        store_link: The proxy between it and the table service.
-        process: The process, once started.
-        disturbed: Monotonic times at which it was killed or paused.
+        table_link: Proxy between the instance and the table service.
+        path: File with the settings that it gets from the platform.
+        log: File with its output.
+        process: The process; None before the first start.
+        disrupted_at: Monotonic times at which it was killed, paused or resumed.
     """
 
     def __init__(self, number: int, seed: int, folder: str):
         self.number = number
-        # Addresses of its own let other soaks and tests run beside it.
-        network = 16 + os.getpid() % 200
-        ip = f"127.{network}.{seed % 250}.{number + 2}"
+        # Distinct addresses allow other soaks and tests to run concurrently.
+        octet = 16 + os.getpid() % 200
+        ip = f"127.{octet}.{seed % 250}.{number + 2}"
         self.ip = ip
         self.ports = tuple(_free_port(ip) for _ in range(3))
         self.address = f"{ip}:{self.ports[0]}"
-        self.store_link: proxy.Pair | None = None
+        self.table_link: proxy.Pair | None = None
         self.path = pathlib.Path(folder) / f"front-{number}.json"
         self.log = (pathlib.Path(folder) / f"front-{number}.log").open("ab")
         self.process: asyncio.subprocess.Process | None = None
-        self.disturbed: list[float] = []
+        self.disrupted_at: list[float] = []
 
     async def start(self) -> None:
-        """Starts the process with the settings in force."""
+        """Writes the settings and starts the process."""
         self.path.write_text(json.dumps(self._settings()))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -63,7 +67,7 @@
         )
 
     async def ready(self, session: aiohttp.ClientSession) -> bool:
-        """Asks whether it is ready."""
+        """Returns whether the instance reports that it is ready."""
         url = f"http://{self.ip}:{self.ports[1]}/"
         try:
             async with session.get(url) as resp:
@@ -71,13 +75,13 @@
         except aiohttp.ClientError:
             return False
 
-    def signal(self, number: int) -> None:
-        """Sends a signal; notes those that no promise survives."""
+    def signal(self, signum: int) -> None:
+        """Sends a signal; records those that may cut or delay requests."""
         if self.process.returncode is not None:
             return
-        if number in (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT):
-            self.disturbed.append(asyncio.get_running_loop().time())
-        self.process.send_signal(number)
+        if signum in (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT):
+            self.disrupted_at.append(asyncio.get_running_loop().time())
+        self.process.send_signal(signum)
 
     async def end(self) -> None:
         """Kills the process and waits for it."""
@@ -92,21 +96,21 @@
             f"front-{self.number}",
             self.ip,
             self.ports,
-            self.store_link.listen,
+            self.table_link.listen,
             zone="ab"[self.number % 2],
             bounds={"grace_s": GRACE_S},
         )
 
 
 async def keep(front: Front) -> None:
-    """Starts a process again when it ends, as the platform does."""
+    """Restarts the process whenever it ends, as the platform does."""
     while True:
         await front.process.wait()
-        await asyncio.sleep(_RESTART_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
         await front.start()
 
 
 def _free_port(ip: str) -> int:
-    with socket.socket() as probe:
-        probe.bind((ip, 0))
-        return probe.getsockname()[1]
+    with socket.socket() as sock:
+        sock.bind((ip, 0))
+        return sock.getsockname()[1]
--- a/bench/frontsoak/world.py
+++ b/bench/frontsoak/world.py
@@ -1,4 +1,4 @@
-"""What a schedule plays with: instances, table, targets and their links."""
+"""Sets up a schedule: instances, table service, targets and their links."""
 
 import asyncio
 import dataclasses
@@ -10,21 +10,21 @@
 from copperloom.platform.standins import target as target_standin
 from copperloom.standins import proxy
 
-__all__ = ["Got", "Sizes", "World", "close", "open_world"]
+__all__ = ["CallResult", "Sizes", "World", "close", "open_world"]
 
-_READY_S = 40.0
+_READY_TIMEOUT_S = 40.0
 _POLL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class Sizes:
-    """How much of each kind there is.
+    """The size of a schedule.
 
     Attributes:
-        fronts: Instances.
-        targets: Targets of each of the two services.
-        callers: Callers.
-        seconds: Length of the schedule.
+        fronts: Number of instances.
+        targets: Number of targets of each of the two services.
+        callers: Number of callers.
+        seconds: Duration, in seconds.
     """
 
     fronts: int = 3
@@ -34,18 +34,18 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Got:
-    """What a caller got.
+class CallResult:
+    """The result of one call.
 
     Attributes:
-        path: What it asked for.
-        id: The request's id.
-        front: Number of the instance asked.
-        status: The status; 0 if no answer came.
-        body: The body as far as it came.
-        whole: Whether the answer came to its end.
-        begun: Monotonic time at which it asked.
-        ended: Monotonic time at which it had the answer.
+        path: Path of the request.
+        id: Request id.
+        front: Number of the instance that was called.
+        status: HTTP status; 0 if no answer came.
+        body: Body of the answer, as far as it was received.
+        whole: Whether the answer was received to its end.
+        started_at: Monotonic time at which the call was started.
+        ended_at: Monotonic time at which the call ended_at.
     """
 
     path: str
@@ -54,24 +54,26 @@
     status: int
     body: bytes
     whole: bool
-    begun: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class World:
-    """Everything of one schedule.
+    """The state of one schedule.
 
     Attributes:
-        rng: Source of all draws.
-        sizes: How much there is.
-        store: The table service.
-        fronts: The instances.
-        targets: The targets by name.
-        links: The proxy before each target, by its name.
-        silenced: Targets whose link has swallowed bytes or closes.
+        rng: Generator of all draws.
+        sizes: Size of the schedule.
+        store: Table service.
+        fronts: Instances.
+        targets: Targets by name.
+        links: Proxy in front of each target, by name of the target.
+        silenced: Names of the targets whose link has lost or held back bytes,
+            or the closing of a connection.
         version: Version of the routes.
-        got: What callers got.
-        stopping: Whether callers should end.
+        got: Results of all calls.
+        stopping: Whether callers should stop.
+        listeners: Listeners of the proxies.
     """
 
     def __init__(self, seed: int, sizes: Sizes):
@@ -83,12 +85,12 @@
         self.links: dict[str, proxy.Pair] = {}
         self.silenced: set[str] = set()
         self.version = 1
-        self.got: list[Got] = []
+        self.got: list[CallResult] = []
         self.stopping = False
         self.listeners: list[asyncio.Server] = []
 
     def register(self, name: str, **changes) -> None:
-        """Writes a target's row, with the address of its link."""
+        """Writes the row of a target, with the address of its proxy."""
         row = self.targets[name].registration(
             "engines" if name.startswith("engine") else "plain", **changes
         )
@@ -97,7 +99,7 @@
 
 
 async def open_world(seed: int, sizes: Sizes, folder: str, session) -> World:
-    """Starts everything; returns once all instances are ready."""
+    """Starts a schedule's processes and waits until all instances are ready."""
     world = World(seed, sizes)
     world.store = await store_standin.serve()
     world.store.put("op", "config", fixtures.routes())
@@ -109,10 +111,10 @@
             world.register(name)
     for number in range(sizes.fronts):
         front = processes.Front(number, seed, folder)
-        front.store_link = await _link(world, world.store.address)
+        front.table_link = await _link(world, world.store.address)
         world.fronts.append(front)
         await front.start()
-    async with asyncio.timeout(_READY_S):
+    async with asyncio.timeout(_READY_TIMEOUT_S):
         for front in world.fronts:
             while not await front.ready(session):
                 await asyncio.sleep(_POLL_S)
@@ -126,12 +128,12 @@
 
 
 async def close(world: World) -> None:
-    """Ends all that was started."""
+    """Ends the instances, the proxies, the targets and the table service."""
     for front in world.fronts:
         await front.end()
     for listener in world.listeners:
         listener.close()
-    links = [*world.links.values(), *(f.store_link for f in world.fronts)]
+    links = [*world.links.values(), *(f.table_link for f in world.fronts)]
     for task in [t for pair in links for t in pair.tasks]:
         task.cancel()
     for target in world.targets.values():
