--- a/copperloom/controllers/reservation_owners.py
+++ b/copperloom/controllers/reservation_owners.py
@@ -241,7 +241,7 @@
         event("account_unknown", target=tgt.name, code=error.code)
         return
     now = asyncio.get_running_loop().time()
-    reservation.seen(
+    reservation.update_streams(
         state.book,
         tgt.name,
         _merge_attempts(streams),
--- a/copperloom/controllers/tests/test_membership.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -278,7 +278,7 @@
         org = configuration.Organisation("org", "x", limit_tokens_per_s=100.0)
         cfg = configuration.Configuration(version=6, organisations={"org": org})
         config.adopt(entry, cfg, 0.0)
-        limits.seconds_over(entry.sched.limits, org, 100, 0.0)
+        limits.excess_wait_s(entry.sched.limits, org, 100, 0.0)
         own_demand = scheduler.demand(entry.sched, 0.0)["org"]
         demand = [
             peers_pb2.Demand(organisation="org", tokens_per_s=3 * own_demand)
--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -207,7 +207,7 @@
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     end = started_at + state.settings.grace_s - CLOSE_RESERVE_S
-    stopping.begin(state, end)
+    stopping.begin_draining(state, end)
     logs.event("draining", active=state.active)
     gossip.send_digest(protocol, started_at)
     await asyncio.sleep(min(BALANCER_DELAY_S, state.settings.grace_s / 2))
@@ -232,7 +232,7 @@
         return
     state.settings = reloaded
     state.store.address = reloaded.store
-    state.budget.terms = budget_policy(reloaded)
+    state.budget.policy = budget_policy(reloaded)
     logs.event("reloaded", store=reloaded.store, grace_s=reloaded.grace_s)
 
 
--- a/copperloom/daemons/tests/test_front.py
+++ b/copperloom/daemons/tests/test_front.py
@@ -38,7 +38,7 @@
         front.reload(self.entry, str(self.path))
         self.assertEqual(self.entry.settings.grace_s, 5.0)
         self.assertEqual(self.entry.store.address, "10.0.0.2:80")
-        self.assertEqual(self.entry.budget.terms.ratio, 0.1)
+        self.assertEqual(self.entry.budget.policy.ratio, 0.1)
 
     def test_invalid_file_changes_nothing(self):
         wrong_type = json.dumps(_VALID | {"listen": 5}).encode()
--- a/copperloom/decisions/budget.py
+++ b/copperloom/decisions/budget.py
@@ -36,13 +36,13 @@
     """Requests and retries of one instance, by service.
 
     Attributes:
-        terms: The bound.
+        policy: The bound.
         requests: Monotonic times of requests, by service.
         retries: Monotonic times of retries, by service.
     """
 
     def __init__(self, terms: BudgetPolicy):
-        self.terms = terms
+        self.policy = terms
         self.requests: dict[str, collections.deque[float]] = {}
         self.retries: dict[str, collections.deque[float]] = {}
 
@@ -74,13 +74,13 @@
     """Returns how many retries are left; the arguments are as in `spend`."""
     requests = _recent(budget, budget.requests, service, now)
     retries = _recent(budget, budget.retries, service, now)
-    own = budget.terms.ratio * len(requests)
-    shared = budget.terms.slack * SAFE_SHARE / max(1, members)
+    own = budget.policy.ratio * len(requests)
+    shared = budget.policy.slack * SAFE_SHARE / max(1, members)
     return own + shared - len(retries)
 
 
 def _recent(budget, times, service, now) -> collections.deque[float]:
     recent = times.setdefault(service, collections.deque())
-    while recent and now - recent[0] > budget.terms.window_s:
+    while recent and now - recent[0] > budget.policy.window_s:
         recent.popleft()
     return recent
--- a/copperloom/decisions/decode_rate.py
+++ b/copperloom/decisions/decode_rate.py
@@ -11,7 +11,7 @@
 from copperloom import routing
 from copperloom.decisions import iterations
 
-__all__ = ["RecentPauses", "is_slow", "record_pause"]
+__all__ = ["RecentGaps", "is_slow", "record_gap"]
 
 # Successive gaps that must all be long; fewer could be due to prefills.
 MIN_GAPS = 3
@@ -21,7 +21,7 @@
 BUSY_SHARE = 0.25
 
 
-class RecentPauses:
+class RecentGaps:
     """The latest gaps between tokens of one stream at one target.
 
     Attributes:
@@ -34,13 +34,13 @@
         )
 
 
-def record_pause(recent: RecentPauses, pause_s: float) -> None:
+def record_gap(recent: RecentGaps, pause_s: float) -> None:
     """Records the time between two events, in seconds."""
     recent.gaps_s.append(pause_s)
 
 
 def is_slow(
-    recent: RecentPauses, engine: routing.EngineSpec, prompt_tokens: int
+    recent: RecentGaps, engine: routing.EngineSpec, prompt_tokens: int
 ) -> bool:
     """Returns whether all recent gaps exceed a full engine's iteration.
 
--- a/copperloom/decisions/health.py
+++ b/copperloom/decisions/health.py
@@ -26,10 +26,10 @@
 HALF_LIFE_S = 3.0
 # An unreachable target fails all requests; one that responds with an error may
 # serve some.
-UNREACHABLE = 3.0
-BROKEN = 1.0
+UNREACHABLE_PENALTY = 3.0
+BROKEN_PENALTY = 1.0
 # Slow decoding makes all requests on the target miss their objectives.
-SLOW = 2.0
+SLOW_PENALTY = 2.0
 # Share of the penalty that a successful response removes.
 SUCCESS_REDUCTION = 0.6
 MAX_PENALTY = 12.0
@@ -64,7 +64,9 @@
     return known.points * 0.5 ** ((now - known.at) / HALF_LIFE_S)
 
 
-def record_failure(known: Health, now: float, points: float = BROKEN) -> None:
+def record_failure(
+    known: Health, now: float, points: float = BROKEN_PENALTY
+) -> None:
     """Adds the penalty of a failure."""
     known.points = min(MAX_PENALTY, penalty(known, now) + points)
     known.at = now
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -45,7 +45,7 @@
 # replaced by as many new ones in it.
 SHORT_ANSWER_S = 1.5
 # Callers abandon a stream without a token after a multiple of its objective.
-ABANDON_OBJECTIVES = 3.5
+ABANDON_MARGIN_OBJECTIVES = 3.5
 # Safety factor for the silence after which callers leave: for them, all work
 # is lost.
 ABANDON_MARGIN = 0.75
@@ -148,7 +148,7 @@
     objective = prompt.first_token_aim_s
     loss = LATE_LOSS * _late_probability(first_s, objective)
     loss += (1 - LATE_LOSS) * _late_probability(
-        first_s, objective * ABANDON_OBJECTIVES
+        first_s, objective * ABANDON_MARGIN_OBJECTIVES
     )
     waiting = WAIT_COST * first_s / max(objective, _MIN_OBJECTIVE_S)
     return plans.worth(prompt.tokens) * loss + waiting
--- a/copperloom/decisions/limits.py
+++ b/copperloom/decisions/limits.py
@@ -9,7 +9,7 @@
 
 from copperloom import configuration
 
-__all__ = ["Limits", "charge", "demand", "seconds_over", "shares"]
+__all__ = ["Limits", "charge", "demand", "excess_wait_s", "shares"]
 
 # Capacity of a bucket, in seconds of its rate: enough for a short burst of
 # requests.
@@ -46,7 +46,7 @@
         self.shares: dict[str, float] = {}
 
 
-def seconds_over(
+def excess_wait_s(
     limits: Limits, org: configuration.Organisation, cost: int, now: float
 ) -> float:
     """Returns how long the organisation must wait; 0 if it may send.
--- a/copperloom/decisions/reservation.py
+++ b/copperloom/decisions/reservation.py
@@ -21,7 +21,7 @@
     "release",
     "renew",
     "reserve",
-    "seen",
+    "update_streams",
 ]
 
 # Retry interval if memory is short: about the time that a short prompt takes.
@@ -169,7 +169,7 @@
             del ledger.reserved[stream]
 
 
-def seen(
+def update_streams(
     book: Book,
     target: str,
     streams: Iterable[interface.StreamInfo],
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -325,7 +325,7 @@
         return admission.capacity_refusal(req, after_s, sched.rng)
     organisation = sched.cfg.organisations.get(req.organisation)
     excess_s = (
-        limits.seconds_over(sched.limits, organisation, cost, now)
+        limits.excess_wait_s(sched.limits, organisation, cost, now)
         if organisation
         else 0.0
     )
--- a/copperloom/decisions/tests/test_decode_rate.py
+++ b/copperloom/decisions/tests/test_decode_rate.py
@@ -10,10 +10,10 @@
 
 
 def _detections(gaps) -> list[bool]:
-    recent = decode_rate.RecentPauses()
+    recent = decode_rate.RecentGaps()
     found = []
     for gap_s in gaps:
-        decode_rate.record_pause(recent, gap_s)
+        decode_rate.record_gap(recent, gap_s)
         found.append(decode_rate.is_slow(recent, ENGINE, 5000))
     return found
 
--- a/copperloom/decisions/tests/test_health.py
+++ b/copperloom/decisions/tests/test_health.py
@@ -12,12 +12,14 @@
         A shared penalty decays like one from an own observation.
         """
         observed = {"t": health.Health()}
-        health.record_failure(observed["t"], 10.0, health.SLOW)
+        health.record_failure(observed["t"], 10.0, health.SLOW_PENALTY)
         penalties = health.penalties_to_share(observed, 10.0)
         from_peers: dict[str, health.Health] = {}
         health.apply_peer_penalties(from_peers, penalties, 10.0)
         first = health.penalty(from_peers["t"], 10.0)
-        self.assertAlmostEqual(first, health.SLOW * health.PEER_DISCOUNT)
+        self.assertAlmostEqual(
+            first, health.SLOW_PENALTY * health.PEER_DISCOUNT
+        )
         later = health.penalty(from_peers["t"], 10.0 + health.HALF_LIFE_S)
         self.assertAlmostEqual(later, first / 2)
 
@@ -32,7 +34,7 @@
     def test_single_failure_is_not_shared(self):
         """A healthy target's occasional failure must not deter all peers."""
         observed = {"t": health.Health()}
-        health.record_failure(observed["t"], 1.0, health.BROKEN)
+        health.record_failure(observed["t"], 1.0, health.BROKEN_PENALTY)
         self.assertEqual(health.penalties_to_share(observed, 1.5), {})
 
 
--- a/copperloom/decisions/tests/test_inflight_table.py
+++ b/copperloom/decisions/tests/test_inflight_table.py
@@ -183,7 +183,7 @@
 class HealthTest(unittest.TestCase):
     def test_penalty_decays_and_drops_after_a_success(self):
         state = health.Health()
-        health.record_failure(state, 0.0, health.UNREACHABLE)
+        health.record_failure(state, 0.0, health.UNREACHABLE_PENALTY)
         self.assertAlmostEqual(health.penalty(state, 0.0), 3.0)
         self.assertAlmostEqual(health.penalty(state, health.HALF_LIFE_S), 1.5)
         health.record_success(state, 0.0)
--- a/copperloom/decisions/tests/test_reservation.py
+++ b/copperloom/decisions/tests/test_reservation.py
@@ -36,7 +36,7 @@
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, TTL_S, 0.0)
         now = TTL_S
-        reservation.seen(book, "t", [], now)
+        reservation.update_streams(book, "t", [], now)
         granted: dict[str, tuple[int, float]] = {}
         running: dict[str, int] = {}
         for event, number, tokens, elapsed_s in events:
@@ -56,11 +56,15 @@
                     granted[name] = (granted[name][0], now + TTL_S)
             elif event == "start" and name in granted:
                 running[name] = granted[name][0]
-                reservation.seen(book, "t", stream_infos(running), now)
+                reservation.update_streams(
+                    book, "t", stream_infos(running), now
+                )
             elif event == "end":
                 running.pop(name, None)
             else:
-                reservation.seen(book, "t", stream_infos(running), now)
+                reservation.update_streams(
+                    book, "t", stream_infos(running), now
+                )
             held = {n: g[0] for n, g in granted.items()} | running
             self.assertLessEqual(sum(held.values()), 0.9 * KV_TOKENS)
 
@@ -77,7 +81,7 @@
         self.assertAlmostEqual(early.retry_after_s, 9.0)
         unseen = reservation.reserve(book, "t", "a", 10, TTL_S, 111.0)
         self.assertFalse(unseen.granted)
-        reservation.seen(book, "t", stream_infos({"old": 850}), 111.0)
+        reservation.update_streams(book, "t", stream_infos({"old": 850}), 111.0)
         over = reservation.reserve(book, "t", "a", 60, TTL_S, 111.0)
         self.assertFalse(over.granted)
         self.assertTrue(
@@ -87,7 +91,7 @@
     def test_unused_reservation_expires(self):
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, 0.0, 0.0)
-        reservation.seen(book, "t", [], 0.0)
+        reservation.update_streams(book, "t", [], 0.0)
         self.assertTrue(
             reservation.reserve(book, "t", "a", 900, TTL_S, 0.0).granted
         )
@@ -116,7 +120,7 @@
                     instance.shares = limits.shares(
                         demands[i], [demands[1 - i]], 2
                     )
-            if limits.seconds_over(book, org, 100, now) == 0.0:
+            if limits.excess_wait_s(book, org, 100, now) == 0.0:
                 limits.charge(book, "o", 100)
                 passed += 100 if now >= 10.0 else 0
         self.assertLess(passed, 1.15 * 30.0 * 1_000)
@@ -125,10 +129,10 @@
     def test_wait_lasts_until_the_debt_is_paid(self):
         org = configuration.Organisation("o", "", limit_tokens_per_s=100.0)
         book = limits.Limits()
-        self.assertEqual(limits.seconds_over(book, org, 1_000, 0.0), 0.0)
+        self.assertEqual(limits.excess_wait_s(book, org, 1_000, 0.0), 0.0)
         limits.charge(book, "o", 1_000)
-        self.assertAlmostEqual(limits.seconds_over(book, org, 1, 0.0), 8.0)
-        self.assertEqual(limits.seconds_over(book, org, 1, 8.1), 0.0)
+        self.assertAlmostEqual(limits.excess_wait_s(book, org, 1, 0.0), 8.0)
+        self.assertEqual(limits.excess_wait_s(book, org, 1, 8.1), 0.0)
 
 
 class GroupTest(unittest.TestCase):
--- a/copperloom/decisions/tests/world.py
+++ b/copperloom/decisions/tests/world.py
@@ -69,7 +69,7 @@
                 RESERVATION_TTL_S,
                 -RESERVATION_TTL_S,
             )
-            reservation.seen(self.book, name, [], 0.0)
+            reservation.update_streams(self.book, name, [], 0.0)
         self.scheds = [
             scheduler.Scheduler(seed=seed + i, policy=policy, disable=disable)
             for i in range(entries)
@@ -209,7 +209,7 @@
 
     def _list_streams(self):
         for name, engine in self.engines.items():
-            reservation.seen(
+            reservation.update_streams(
                 self.book,
                 name,
                 engine.streams(),
--- a/copperloom/ingress/announcements.py
+++ b/copperloom/ingress/announcements.py
@@ -67,7 +67,7 @@
         if m.data_centre == member.data_centre
     }
     for data_centre in {m.data_centre for m in state.members.values()}:
-        order = placement_rpc.order_of(state, shards.Shard("", data_centre))
+        order = placement_rpc.owner_order(state, shards.Shard("", data_centre))
         names.update(order[: 2 * shards.OWNERS])
     names -= {member.instance, state.settings.instance}
     return [_announcement(state.members[n]) for n in sorted(names)][
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -126,17 +126,17 @@
     """Asks a shard owner where to place a request.
 
     Attributes:
-        asker: Name of the instance that asks.
+        sender: Name of the instance that asks.
         datagrams: IP:port that the reply goes to.
         sequence: Sequence number of the last digest that the instance sent.
-        number: Number that the reply repeats.
+        call_id: Number that the reply repeats.
         query: The request to place.
     """
 
-    asker: str
+    sender: str
     datagrams: str
     sequence: int
-    number: int
+    call_id: int
     query: placement_query.Query
 
 
@@ -144,7 +144,7 @@
     """Reply of a shard owner to a placement request.
 
     Attributes:
-        number: Number of the placement request.
+        call_id: Number of the placement request.
         owner: Name of the instance that decided.
         plan: The plan, if there is one.
         wait_s: Seconds until the request is placed again; 0 if not deferred.
@@ -157,7 +157,7 @@
         remote: Shard of another data centre that has more capacity, if any.
     """
 
-    number: int
+    call_id: int
     owner: str
     plan: plans.Plan | None
     wait_s: float
@@ -239,7 +239,7 @@
     chosen = decision.choice
     wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
     return PlacementReply(
-        number=number,
+        call_id=number,
         owner=decision.decided_by,
         plan=chosen if isinstance(chosen, plans.Plan | None) else chosen.plan,
         wait_s=wait_s,
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -67,16 +67,16 @@
             await _wait_for_memory(ex, error)
         except exception.TargetUnreachableError as error:
             unreachable += 1
-            _record_failure(ex, error, health.UNREACHABLE)
+            _record_failure(ex, error, health.UNREACHABLE_PENALTY)
             if unreachable >= _MAX_UNREACHABLE:
                 raise
         except exception.TargetRefusedError as error:
-            by_helper = _record_failure(ex, error, health.BROKEN)
+            by_helper = _record_failure(ex, error, health.BROKEN_PENALTY)
             if not retry.take_retry(ex, by_helper):
                 error.retry_after_s = _REFUSED_RETRY_S
                 raise
         except exception.StreamBrokenError as error:
-            _record_failure(ex, error, health.BROKEN)
+            _record_failure(ex, error, health.BROKEN_PENALTY)
             if not ex.route.repeatable or not retry.take_retry(ex):
                 raise
     await nxt(ex)
@@ -109,7 +109,7 @@
     by_helper = culprit != ex.plan.lead
     ex.avoid.add(culprit)
     if by_helper:
-        points = health.UNREACHABLE
+        points = health.UNREACHABLE_PENALTY
     target_health = ex.state.health.setdefault(culprit, health.Health())
     health.record_failure(target_health, now, points)
     # Without this report an owner would send other requests to this target.
--- a/copperloom/ingress/metrics.py
+++ b/copperloom/ingress/metrics.py
@@ -65,7 +65,7 @@
             ["outcome"],
             registry=self.registry,
         )
-        self.store_failures = prometheus_client.Counter(
+        self.table_failures = prometheus_client.Counter(
             "copperloom_store_failures",
             "Failed calls to the platform's table, by table.",
             ["table"],
--- a/copperloom/ingress/placement_rpc.py
+++ b/copperloom/ingress/placement_rpc.py
@@ -71,7 +71,7 @@
     state: IngressState, query: placement_query.Query, now: float
 ) -> placement_query.Decision:
     own = state.settings.instance
-    order = order_of(state, query.shard)
+    order = owner_order(state, query.shard)
     if state.peers_synced.is_set() and members.is_owner(
         order,
         state.members,
@@ -92,7 +92,7 @@
     return local_placement.decide(state, query, now, alone=True)
 
 
-def order_of(state: IngressState, shard: shards.Shard) -> list[str]:
+def owner_order(state: IngressState, shard: shards.Shard) -> list[str]:
     """Returns the instances that may own a shard, in order of precedence."""
     own = state.settings
     candidate = shards.Instance(own.instance, own.cores)
@@ -112,10 +112,10 @@
     future = loop.create_future()
     state.pending_queries[number] = future
     message = datagrams.PlacementRequest(
-        asker=state.settings.instance,
+        sender=state.settings.instance,
         datagrams=state.datagrams,
         sequence=state.sequence,
-        number=number,
+        call_id=number,
         query=query,
     )
     is_long = query.prompt and query.prompt.tokens > plans.SHORT_TOKENS
@@ -159,7 +159,7 @@
     owner = state.members.get(reply.owner)
     if owner is not None:
         members.record_received(owner, asyncio.get_running_loop().time())
-    future = state.pending_queries.get(reply.number)
+    future = state.pending_queries.get(reply.call_id)
     if future is not None and not future.done():
         future.set_result(reply)
 
@@ -178,11 +178,11 @@
         work = placement_query.planned_work(query, decision.choice, now)
         inflight_table.add_pending(
             state.inflight,
-            request.asker,
+            request.sender,
             query.request,
             request.sequence,
             work,
             now,
         )
-    reply = datagrams.make_reply(request.number, decision)
+    reply = datagrams.make_reply(request.call_id, decision)
     state.send(datagrams.encode(reply), request.datagrams)
--- a/copperloom/ingress/recipients.py
+++ b/copperloom/ingress/recipients.py
@@ -73,7 +73,7 @@
     """
     if not is_large_fleet(state):
         return list(state.members.values())
-    order = placement_rpc.order_of(state, _local_shard(state))
+    order = placement_rpc.owner_order(state, _local_shard(state))
     own = state.settings.instance
     if own in order[: 2 * shards.OWNERS]:
         return local_members(state)
@@ -129,7 +129,7 @@
 def _owners(
     state: IngressState, shard: shards.Shard, now: float
 ) -> list[Member]:
-    order = placement_rpc.order_of(state, shard)
+    order = placement_rpc.owner_order(state, shard)
     return members.owners_to_notify(
         order, state.members, state.settings.instance, now
     )
@@ -137,7 +137,7 @@
 
 def owns_local_shards(state: IngressState, now: float) -> bool:
     """Returns whether this instance owns the shards of its data centre."""
-    order = placement_rpc.order_of(state, _local_shard(state))
+    order = placement_rpc.owner_order(state, _local_shard(state))
     own = state.settings.instance
     return members.is_owner(
         order, state.members, own, now, listening_since=state.listening_since
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -64,7 +64,7 @@
     splitter = events.Splitter()
     content = reply.response.content
     has_begun = False
-    pauses = decode_rate.RecentPauses()
+    pauses = decode_rate.RecentGaps()
     while True:
         chunk = await _read(ex, content, _read_timeout_s(ex, has_begun))
         if not chunk:
@@ -77,7 +77,7 @@
             has_begun = True
             inflight_table.mark_decoding(ex.state.inflight, ex.id)
         else:
-            decode_rate.record_pause(pauses, now - ex.last_at)
+            decode_rate.record_gap(pauses, now - ex.last_at)
             _record_decode_rate(ex, pauses, now)
         _record_event(ex, now)
         await _forward_events(ex, reply, complete)
@@ -100,7 +100,7 @@
 
 
 def _record_decode_rate(
-    ex: exchange.Exchange, pauses: decode_rate.RecentPauses, now: float
+    ex: exchange.Exchange, pauses: decode_rate.RecentGaps, now: float
 ) -> None:
     """Records a failure of the target if it decodes slowly throughout."""
     engine = exchange.engine(ex)
@@ -110,7 +110,7 @@
         return
     ex.slow = True
     target_health = ex.state.health.setdefault(ex.plan.lead, health.Health())
-    health.record_failure(target_health, now, health.SLOW)
+    health.record_failure(target_health, now, health.SLOW_PENALTY)
     ex.state.digest_due.set()
     logs.event(
         "target_slow",
--- a/copperloom/ingress/sender.py
+++ b/copperloom/ingress/sender.py
@@ -112,7 +112,7 @@
         limit=0,
         force_close=True,
         use_dns_cache=False,
-        socket_factory=sockets.watched,
+        socket_factory=sockets.monitored_socket,
     )
     # aiohttp has no public way to set the protocol class.
     connector._factory = functools.partial(_Protocol, loop=connector._loop)
--- a/copperloom/ingress/stopping.py
+++ b/copperloom/ingress/stopping.py
@@ -12,7 +12,7 @@
 from copperloom.ingress import exchange
 from copperloom.ingress.state import IngressState
 
-__all__ = ["begin", "bound_deadline", "check_time_left"]
+__all__ = ["begin_draining", "bound_deadline", "check_time_left"]
 
 # Other instances can take the request at once.
 _RETRY_S = 0.0
@@ -20,7 +20,7 @@
 _FINAL_ERRORS_S = 0.1
 
 
-def begin(state: IngressState, until: float) -> None:
+def begin_draining(state: IngressState, until: float) -> None:
     """Bounds the deadlines of requests in progress and of later ones.
 
     Args:
--- a/copperloom/ingress/table_watch.py
+++ b/copperloom/ingress/table_watch.py
@@ -159,7 +159,7 @@
 
 def _record_outage(state, table: str, error, failures: int) -> None:
     registry.record_outage(state.targets, asyncio.get_running_loop().time())
-    state.metrics.store_failures.labels(table).inc()
+    state.metrics.table_failures.labels(table).inc()
     state.unreachable_tables.add(table)
     if failures == 1:
         logs.event("store_lost", table=table, code=error.code, error=str(error))
--- a/copperloom/ingress/tests/test_placement_rpc.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -44,7 +44,7 @@
 def _knows_live_owners(entry) -> bool:
     now = asyncio.get_running_loop().time()
     own = entry.settings
-    order = placement_rpc.order_of(
+    order = placement_rpc.owner_order(
         entry, shards.Shard("engines", own.data_centre)
     )
     return all(
@@ -56,7 +56,7 @@
 
 def _order(system: fixtures.System) -> list[str]:
     entry = system.fronts[0].entry
-    return placement_rpc.order_of(entry, shards.Shard("engines", "a"))
+    return placement_rpc.owner_order(entry, shards.Shard("engines", "a"))
 
 
 def _index(system: fixtures.System, name: str) -> int:
@@ -248,7 +248,7 @@
         self.addCleanup(low_latency.stop)
         system = await _start_fleet(self, ("a", "b"), engines=4)
         entry = system.fronts[0].entry
-        order = placement_rpc.order_of(entry, shards.Shard("engines"))
+        order = placement_rpc.owner_order(entry, shards.Shard("engines"))
         owner = entry.members.get(order[0], entry.settings)
         sender = next(
             n
--- a/copperloom/platform/store.py
+++ b/copperloom/platform/store.py
@@ -107,7 +107,9 @@
         if self.session is None:
             self.session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
-                    limit=0, force_close=True, socket_factory=sockets.watched
+                    limit=0,
+                    force_close=True,
+                    socket_factory=sockets.monitored_socket,
                 ),
                 cookie_jar=aiohttp.DummyCookieJar(),
             )
--- a/copperloom/utils/sockets.py
+++ b/copperloom/utils/sockets.py
@@ -2,7 +2,7 @@
 
 import socket
 
-__all__ = ["watched"]
+__all__ = ["monitored_socket"]
 
 # Maximum time for which sent data may stay unacknowledged. By default the
 # kernel retransmits for minutes while callers wait.
@@ -11,7 +11,7 @@
 _KEEPALIVE_PROBES = (1, 1, 2)
 
 
-def watched(info) -> socket.socket:
+def monitored_socket(info) -> socket.socket:
     """Returns a socket that detects an unreachable peer.
 
     Args:
