--- a/copperloom/controllers/config.py
+++ b/copperloom/controllers/config.py
@@ -15,7 +15,7 @@
     "confirm",
     "evidence",
     "is_fresh",
-    "may_admit",
+    "check_admission",
     "step",
 ]
 
@@ -153,7 +153,7 @@
     """Collects the evidence on whether the configuration is the newest."""
     contact_since = now - state.settings.membership.suspect_s
     members = state.members.values()
-    contacts = [m for m in members if m.heard_at >= contact_since]
+    contacts = [m for m in members if m.last_reply_at >= contact_since]
     # A restarted entry knows few members at first and would take a few of them
     # for a majority, so the greatest count known to any contact is used.
     known = max([len(members) + 1, *(m.known_members for m in contacts)])
@@ -161,7 +161,7 @@
         loaded=state.cfg_loaded,
         version=state.cfg.version,
         confirmed_at=state.confirmed_at,
-        told_version=max((m.version for m in members), default=0),
+        reported_version=max((m.version for m in members), default=0),
         contacts=len(contacts) + 1,
         members=known,
         listed=state.membership.listed_self,
@@ -171,13 +171,13 @@
 def is_fresh(state, now: float) -> bool:
     """Returns whether work may be admitted and sent to targets."""
     try:
-        may_admit(state, now)
+        check_admission(state, now)
     except exception.StaleConfigurationError:
         return False
     return True
 
 
-def may_admit(state, now: float) -> None:
+def check_admission(state, now: float) -> None:
     """Raises an error if the configuration may be outdated.
 
     Raises:
--- a/copperloom/controllers/config_fetch.py
+++ b/copperloom/controllers/config_fetch.py
@@ -58,7 +58,7 @@
         return
     members = [m for m in state.members.values() if not m.failures]
     if not state.cfg_loaded:
-        members = [m for m in members if m.heard_at >= contact_since]
+        members = [m for m in members if m.last_reply_at >= contact_since]
     best = max(members, key=lambda m: m.version, default=None)
     if best is None or best.version <= state.cfg.version:
         return
--- a/copperloom/controllers/digest_exchange.py
+++ b/copperloom/controllers/digest_exchange.py
@@ -12,12 +12,12 @@
 from copperloom.logs import event
 from copperloom.peers import client, digest, peers_pb2
 
-__all__ = ["ask", "ask_all", "call", "note_request"]
+__all__ = ["exchange", "exchange_all", "call", "record_request"]
 
 _EXCHANGE_S = 1.0
 
 
-async def ask(state, instance: str) -> None:
+async def exchange(state, instance: str) -> None:
     """Exchanges digests with one peer."""
     peer = state.members.get(instance)
     if peer is None:
@@ -43,12 +43,12 @@
         _record_reply(state, peer, reply, now)
 
 
-async def ask_all(state, instances: list[str]) -> None:
+async def exchange_all(state, instances: list[str]) -> None:
     """Exchanges digests with many members concurrently."""
-    await asyncio.gather(*(ask(state, name) for name in instances))
+    await asyncio.gather(*(exchange(state, name) for name in instances))
 
 
-def note_request(state, received: peers_pb2.Digest, now: float) -> None:
+def record_request(state, received: peers_pb2.Digest, now: float) -> None:
     """Records the digest of a peer that started an exchange.
 
     The message may have been delayed for long, so it proves neither contact
@@ -134,7 +134,7 @@
 
 
 def _record_reply(state, peer: member.Member, reply, sent_at: float) -> None:
-    if sent_at < peer.heard_at:
+    if sent_at < peer.last_reply_at:
         return
     if peer.boot and peer.boot != reply.boot:
         event("member_restarted", peer=peer.instance, boot=reply.boot)
@@ -144,7 +144,7 @@
         data_centre=reply.data_centre,
         leaving=reply.leaving,
         version=reply.config_version,
-        heard_at=sent_at,
+        last_reply_at=sent_at,
         failures=0,
         known_members=reply.known_members,
         loads=_loads_of(reply),
--- a/copperloom/controllers/dispatcher.py
+++ b/copperloom/controllers/dispatcher.py
@@ -7,19 +7,19 @@
 from copperloom.daemons.state import EntryState
 from copperloom.decisions import scheduler
 
-__all__ = ["error_of", "expect", "run", "step", "unexpect"]
+__all__ = ["error_from", "register", "run", "step", "unregister"]
 
 _STALE_RETRY_S = 0.05
 
 
-def expect(state: EntryState, request_id: str) -> asyncio.Future:
+def register(state: EntryState, request_id: str) -> asyncio.Future:
     """Returns a future that resolves to the request's placement or error."""
     future = asyncio.get_running_loop().create_future()
     state.waiting[request_id] = future
     return future
 
 
-def unexpect(state: EntryState, request_id: str) -> None:
+def unregister(state: EntryState, request_id: str) -> None:
     """Removes the request's future."""
     state.waiting.pop(request_id, None)
 
@@ -72,15 +72,15 @@
     future = state.waiting.get(decision.request.id)
     if future is None or future.done():
         if isinstance(decision, messages.Placement):
-            scheduler.finished(state.sched, decision, now, ok=False)
+            scheduler.record_completion(state.sched, decision, now, ok=False)
         return
     if isinstance(decision, messages.Placement):
         future.set_result(decision)
         return
-    future.set_exception(error_of(decision))
+    future.set_exception(error_from(decision))
 
 
-def error_of(refusal: messages.Refusal) -> exception.CopperloomError:
+def error_from(refusal: messages.Refusal) -> exception.CopperloomError:
     """Builds the exception that a refusal names."""
     cls = getattr(exception, refusal.error)
     # 0 means that a retry is pointless, as for a prompt that is too large.
--- a/copperloom/controllers/draining.py
+++ b/copperloom/controllers/draining.py
@@ -44,18 +44,18 @@
     load controller records the targets' own reports in state.leaving_targets.
     """
     drain_state = state.target_drain
-    for name, at in list(state.leaving_targets.items()):
+    for name, at in list(state.draining_targets.items()):
         if target_drain.is_superseded(drain_state, name, at, now):
-            del state.leaving_targets[name]
-    self_reported = frozenset(state.leaving_targets)
+            del state.draining_targets[name]
+    self_reported = frozenset(state.draining_targets)
     reported = self_reported | state.membership.listed_draining
     target_drain.observe(drain_state, reported, state.cfg, now)
     target_drain.prune(drain_state, state.cfg)
     names = target_drain.draining_targets(drain_state, state.cfg)
-    if names == state.sched.leaving:
+    if names == state.sched.draining:
         return
-    newly_draining = sorted(names - state.sched.leaving)
-    readmitted = sorted(state.sched.leaving - names)
+    newly_draining = sorted(names - state.sched.draining)
+    readmitted = sorted(state.sched.draining - names)
     event(
         "leaving",
         targets=",".join(newly_draining),
--- a/copperloom/controllers/load_polling.py
+++ b/copperloom/controllers/load_polling.py
@@ -10,11 +10,11 @@
 from copperloom.daemons.state import EntryState
 from copperloom.decisions import scheduler
 
-__all__ = ["WATCH_MOST", "due", "interval_s", "step", "watched"]
+__all__ = ["MAX_WATCHED", "due", "interval_s", "step", "watched"]
 
 # Bounds the control traffic of an entry as the fleet grows. The load of engines
 # that are not watched is estimated from the work in flight here and at peers.
-WATCH_MOST = 20
+MAX_WATCHED = 20
 _TIMEOUT_S = 1.0
 
 
@@ -24,7 +24,7 @@
 
 
 def watched(
-    cfg: configuration.Configuration, instance: str, *, most: int = WATCH_MOST
+    cfg: configuration.Configuration, instance: str, *, most: int = MAX_WATCHED
 ) -> list[configuration.Target]:
     """Returns the engines that an entry watches.
 
@@ -103,7 +103,7 @@
         await asyncio.sleep(interval_s(state) * state.rng.uniform(0.0, 0.5))
         report = await state.targets.load(tgt.address, timeout_s=_TIMEOUT_S)
     except exception.TargetUnreachableError:
-        scheduler.target_failed(state.sched, tgt.name, loop.time())
+        scheduler.record_target_failure(state.sched, tgt.name, loop.time())
         return
     except exception.CopperloomError as error:
         logs.event("no_report", target=tgt.name, code=error.code)
@@ -112,7 +112,7 @@
         state.polling.discard(tgt.name)
     now = loop.time()
     state.reports[tgt.name] = report
-    scheduler.report(state.sched, tgt.name, report, now)
+    scheduler.record_report(state.sched, tgt.name, report, now)
     _record_draining(state, tgt.name, report.leaving, now)
 
 
@@ -120,10 +120,10 @@
     state: EntryState, target: str, is_draining: bool, now: float
 ) -> None:
     """Records whether a target reports that it drains."""
-    if is_draining == (target in state.leaving_targets):
+    if is_draining == (target in state.draining_targets):
         return
     if is_draining:
-        state.leaving_targets[target] = now
+        state.draining_targets[target] = now
     else:
-        del state.leaving_targets[target]
+        del state.draining_targets[target]
     draining.refresh(state, now)
--- a/copperloom/controllers/member.py
+++ b/copperloom/controllers/member.py
@@ -40,7 +40,7 @@
         leaving: Whether it or the platform reported that it is stopping.
         version: Greatest configuration version that it has reported.
         last_sent_at: Time at which a digest was last sent to it.
-        heard_at: Latest time of sending a digest to which it replied.
+        last_reply_at: Latest time of sending a digest to which it replied.
         last_received_at: Time at which it last sent a digest of its own accord,
             or was learnt of through another member.
         listed_at: Latest time at which the platform's list named it.
@@ -58,7 +58,7 @@
     leaving: bool = False
     version: int = 0
     last_sent_at: float = _NEVER
-    heard_at: float = _NEVER
+    last_reply_at: float = _NEVER
     last_received_at: float = _NEVER
     listed_at: float = _NEVER
     failures: int = 0
@@ -107,7 +107,8 @@
         for m in state.members.values()
         if not m.leaving
         and m.failures < _FAILURE_THRESHOLD
-        and max(m.heard_at, m.last_received_at, m.listed_at) >= silent_since
+        and max(m.last_reply_at, m.last_received_at, m.listed_at)
+        >= silent_since
     ]
 
 
@@ -144,7 +145,7 @@
     It has crashed or is partitioned from the fleet. In both cases it admits no
     work after confirm_s, so that no change has to wait for it.
     """
-    last = max(peer.heard_at, peer.last_received_at, peer.listed_at)
+    last = max(peer.last_reply_at, peer.last_received_at, peer.listed_at)
     limit_s = state.settings.membership.dead_s + list_interval_s(state)
     return bool(peer.failures and last < now - limit_s)
 
--- a/copperloom/controllers/membership.py
+++ b/copperloom/controllers/membership.py
@@ -55,7 +55,7 @@
         member.spawn(
             state,
             f"ask {peer.instance}",
-            digest_exchange.ask(state, peer.instance),
+            digest_exchange.exchange(state, peer.instance),
         )
     _prune(state, now)
     _set_loads(state, now)
@@ -188,7 +188,7 @@
     own = state.settings.membership
     list_is_fresh = member.list_is_fresh(state, now)
     for peer in list(state.members.values()):
-        last = max(peer.heard_at, peer.last_received_at)
+        last = max(peer.last_reply_at, peer.last_received_at)
         silent_s = now - max(last, peer.listed_at)
         stopped = peer.leaving and now - last > own.dead_s
         if stopped or (list_is_fresh and silent_s > _RETENTION_S):
@@ -204,7 +204,7 @@
     fresh = [
         peer
         for peer in state.members.values()
-        if max(peer.heard_at, peer.last_received_at) >= since
+        if max(peer.last_reply_at, peer.last_received_at) >= since
     ]
     loads: dict[str, tuple[int, int]] = {}
     for peer in fresh:
--- a/copperloom/controllers/model_orders.py
+++ b/copperloom/controllers/model_orders.py
@@ -110,7 +110,7 @@
     return (
         tgt.state is configuration.TargetState.ADMITTED
         and tgt.name not in state.orders.busy
-        and tgt.name not in state.leaving_targets
+        and tgt.name not in state.draining_targets
         and now >= state.orders.not_before.get(tgt.name, now)
     )
 
--- a/copperloom/controllers/reclaim.py
+++ b/copperloom/controllers/reclaim.py
@@ -104,7 +104,9 @@
     orphans.record(state.orphans, instance, state.boot, now)
     for name, member in state.members.items():
         if member.boot:
-            orphans.record(state.orphans, name, member.boot, member.heard_at)
+            orphans.record(
+                state.orphans, name, member.boot, member.last_reply_at
+            )
 
 
 async def _cancel_orphans(state: EntryState, tgt: configuration.Target) -> None:
--- a/copperloom/controllers/reservation_owners.py
+++ b/copperloom/controllers/reservation_owners.py
@@ -22,8 +22,8 @@
 from copperloom.targets import interface
 
 __all__ = [
-    "grant",
-    "owned",
+    "grant_reservation",
+    "owned_engines",
     "owner_of",
     "release",
     "release_reservations",
@@ -49,7 +49,7 @@
     return _choose_owner(_instances_in(_candidates(state, now), centre), target)
 
 
-def owned(state, now: float) -> dict[str, configuration.Target]:
+def owned_engines(state, now: float) -> dict[str, configuration.Target]:
     """Returns the engines that this entry owns, by name.
 
     Equivalent to calling `owner_of` for each engine, but lists the members
@@ -70,7 +70,7 @@
 
 async def step(state, now: float) -> None:
     """Updates the ledgers of owned engines and renews own reservations."""
-    engines = owned(state, now)
+    engines = owned_engines(state, now)
     for target in state.book.ledgers.keys() - engines.keys():
         reservation.close_target(state.book, target)
         event("owner_closed", target=target)
@@ -127,7 +127,7 @@
     member.spawn(state, "release", _flush(state))
 
 
-def grant(
+def grant_reservation(
     state, req: peers_pb2.ReserveRequest, now: float
 ) -> peers_pb2.ReserveReply:
     """Grants or renews a reservation as the target's owner.
@@ -212,7 +212,7 @@
         ttl_ms=int(state.settings.targets.reservation_s * 1000),
     )
     if owner == state.settings.entry.instance:
-        return grant(state, req, now)
+        return grant_reservation(state, req, now)
     return await digest_exchange.call(
         state, owner, "Reserve", req, timeout_s=_CALL_TIMEOUT_S
     )
--- a/copperloom/controllers/tests/fleet.py
+++ b/copperloom/controllers/tests/fleet.py
@@ -143,7 +143,7 @@
 def admits(entry) -> bool:
     """Returns whether an entry admits new work now."""
     try:
-        config.may_admit(entry, time.monotonic())
+        config.check_admission(entry, time.monotonic())
     except exception.StaleConfigurationError:
         return False
     return True
--- a/copperloom/controllers/tests/test_config.py
+++ b/copperloom/controllers/tests/test_config.py
@@ -144,15 +144,15 @@
 
     async def test_stale_entry_refuses_work(self):
         now = time.monotonic()
-        config.may_admit(self.entry, now)
+        config.check_admission(self.entry, now)
         late = now + self.entry.settings.membership.confirm_s + 1
         with self.assertRaises(exception.StaleConfigurationError):
-            config.may_admit(self.entry, late)  # Peers may exist.
+            config.check_admission(self.entry, late)  # Peers may exist.
         self.entry.membership.listed_self = True
-        config.may_admit(self.entry, late)  # It has none.
+        config.check_admission(self.entry, late)  # It has none.
         self.entry.members["b"] = _SilentMember()
         with self.assertRaises(exception.StaleConfigurationError) as caught:
-            config.may_admit(self.entry, late)
+            config.check_admission(self.entry, late)
         self.assertGreater(caught.exception.retry_after_s, 0)
 
 
--- a/copperloom/controllers/tests/test_membership.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -119,7 +119,7 @@
         fleet.disconnect_platform(self, disconnected)
         await commit(self.fleet[0], fixtures.target("t", state="retired"))
         await fixtures.until(
-            lambda: "t" in disconnected.sched.leaving, _SPREAD_S
+            lambda: "t" in disconnected.sched.draining, _SPREAD_S
         )
         await self.check_keeps_admitting([disconnected])
 
@@ -164,7 +164,7 @@
         healthy = dataclasses.replace(row, leaving=False)
         await self.list_target(row)
         await fixtures.until(
-            lambda: all("t" in e.sched.leaving for e in self.fleet)
+            lambda: all("t" in e.sched.draining for e in self.fleet)
         )
         await self.list_target(healthy)
         listed = [e.membership.list_read_at for e in self.fleet]
@@ -174,10 +174,10 @@
                 for e, at in zip(self.fleet, listed, strict=True)
             )
         )
-        self.assertTrue(all("t" in e.sched.leaving for e in self.fleet))
+        self.assertTrue(all("t" in e.sched.draining for e in self.fleet))
         await commit(self.fleet[0], fixtures.target("t"))
         await fixtures.until(
-            lambda: not any("t" in e.sched.leaving for e in self.fleet)
+            lambda: not any("t" in e.sched.draining for e in self.fleet)
         )
 
     async def list_target(self, row):
@@ -192,7 +192,7 @@
         fleet.disconnect_platform(self, disconnected)
         self.fleet[0].leaving_targets["t"] = time.monotonic()
         await fixtures.until(
-            lambda: "t" in disconnected.sched.leaving, _SPREAD_S
+            lambda: "t" in disconnected.sched.draining, _SPREAD_S
         )
 
 
@@ -216,7 +216,7 @@
 
     async def test_request_proves_neither_contact_nor_confirmation(self):
         """A process resumed after a pause reads requests sent long before."""
-        digest_exchange.note_request(
+        digest_exchange.record_request(
             self.entry, self.make_digest(confirmed_age_ms=1), 100.0
         )
         self.assertEqual(self.entry.confirmed_at, float("-inf"))
@@ -227,7 +227,7 @@
         self.assertEqual(digest.confirmed_at(reply, 100.0), 99.5)
 
     async def test_own_instance_is_not_recorded_as_member(self):
-        digest_exchange.note_request(
+        digest_exchange.record_request(
             self.entry, self.make_digest(instance="a"), 1.0
         )
         self.assertEqual(self.entry.members, {})
@@ -235,7 +235,7 @@
     async def test_member_count_is_greatest_known_to_contacts(self):
         """A restarted entry must not take the few it knows for the fleet."""
         self.entry.members["b"] = member.Member(
-            "b", "127.0.0.1:2", heard_at=100.0, known_members=9
+            "b", "127.0.0.1:2", last_reply_at=100.0, known_members=9
         )
         facts = config.evidence(self.entry, 100.0)
         self.assertEqual((facts.contacts, facts.members), (2, 9))
@@ -283,7 +283,7 @@
         demand = [
             peers_pb2.Demand(organisation="org", tokens_per_s=3 * own_demand)
         ]
-        digest_exchange.note_request(
+        digest_exchange.record_request(
             entry, self.make_digest(demand=demand), 0.0
         )
         entry.membership.list_requested_at = 0.0
--- a/copperloom/controllers/tests/test_model_orders.py
+++ b/copperloom/controllers/tests/test_model_orders.py
@@ -257,7 +257,7 @@
         )
         await control.control(addresses["g1"], leaving=True)
         async with asyncio.timeout(10.0):
-            while "g1" not in state.sched.leaving:
+            while "g1" not in state.sched.draining:
                 await load_polling.step(state, _now())
                 await asyncio.sleep(0.02)
         self.assertNotIn("g0", state.reports)
--- a/copperloom/controllers/tests/test_reservation_owners.py
+++ b/copperloom/controllers/tests/test_reservation_owners.py
@@ -90,7 +90,9 @@
         }
         self.assertGreater(len(names), 1)
         now = time.monotonic()
-        owned = [set(reservation_owners.owned(e, now)) for e in self.fleet]
+        owned = [
+            set(reservation_owners.owned_engines(e, now)) for e in self.fleet
+        ]
         self.assertEqual(sum(map(len, owned)), len(self.fleet[0].cfg.targets))
         self.assertEqual(set.union(*owned), set(self.fleet[0].cfg.targets))
 
@@ -173,7 +175,7 @@
         )
         late = [m for m in calls if m.stream == placed.request.id]
         self.assertTrue(late)
-        reservation_owners.grant(owner, late[0], time.monotonic())
+        reservation_owners.grant_reservation(owner, late[0], time.monotonic())
         self.assertEqual(self.free("t0"), _LONG_TOKENS)
 
     async def test_reservations_of_a_dead_entry_expire(self):
--- a/copperloom/daemons/admin.py
+++ b/copperloom/daemons/admin.py
@@ -170,7 +170,7 @@
     """
     if _in_majority(state):
         return
-    await digest_exchange.ask_all(state, list(state.members))
+    await digest_exchange.exchange_all(state, list(state.members))
     if _in_majority(state):
         return
     evidence = config.evidence(state, time.monotonic())
@@ -207,7 +207,7 @@
         behind = _behind(state, version)
         if _all_silent(state, behind, now) or now - started_at >= wait_s:
             break
-        await digest_exchange.ask_all(state, behind)
+        await digest_exchange.exchange_all(state, behind)
         if _behind(state, version):
             await asyncio.sleep(_IN_FORCE_POLL_S)
     if state.cfg.version < version:
@@ -241,7 +241,7 @@
             "address": m.address,
             "version": m.version,
             "leaving": m.leaving,
-            "heard_age_s": _age(now, m.heard_at),
+            "heard_age_s": _age(now, m.last_reply_at),
         }
         for m in state.members.values()
     ]
@@ -256,7 +256,7 @@
             "knows_the_fleet": config_staleness.has_fleet_view(evidence),
             "draining": state.draining,
             "active": state.active,
-            "leaving_targets": sorted(state.sched.leaving),
+            "leaving_targets": sorted(state.sched.draining),
             "members": sorted(members, key=lambda m: m["instance"]),
         }
     )
--- a/copperloom/daemons/state.py
+++ b/copperloom/daemons/state.py
@@ -50,7 +50,7 @@
         book: Reservations at the targets that this entry owns.
         held: Placements in flight with reservations, by request id.
         releases: Request ids of the reservations to release, by target.
-        leaving_targets: Draining targets, with the monotonic time at which
+        draining_targets: Draining targets, with the monotonic time at which
             this entry learnt of it.
         draining: Whether this entry is draining.
         active: Number of requests in progress.
@@ -97,7 +97,7 @@
         self.book = reservation.Book()
         self.held: dict[str, messages.Placement] = {}
         self.releases: dict[str, set[str]] = {}
-        self.leaving_targets: dict[str, float] = {}
+        self.draining_targets: dict[str, float] = {}
         self.draining = False
         self.active = 0
         self.waiting: dict[str, asyncio.Future] = {}
--- a/copperloom/decisions/config_staleness.py
+++ b/copperloom/decisions/config_staleness.py
@@ -24,7 +24,7 @@
         version: The version that it has.
         confirmed_at: Latest monotonic time at which that version was confirmed
             to be the newest.
-        told_version: Highest version that any member reported.
+        reported_version: Highest version that any member reported.
         contacts: Members in recent contact, this one included.
         members: Known members, this one included.
         listed: Whether the platform's list names this instance, and so is
@@ -34,7 +34,7 @@
     loaded: bool
     version: int
     confirmed_at: float
-    told_version: int
+    reported_version: int
     contacts: int
     members: int
     listed: bool = True
@@ -85,7 +85,7 @@
         return "no configuration yet"
     if now - evidence.confirmed_at <= confirm_s:
         return None
-    if evidence.told_version > evidence.version:
+    if evidence.reported_version > evidence.version:
         return (
             f"version {evidence.told_version} is in force but not fetched yet"
         )
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -27,18 +27,18 @@
     "backlog",
     "demand",
     "dispatch",
-    "finished",
-    "first_token",
-    "forget",
+    "record_completion",
+    "record_first_token",
+    "cancel",
     "next_wake",
     "offer",
-    "report",
+    "record_report",
     "requeue",
     "set_configuration",
     "set_draining",
     "set_limit_shares",
     "set_peer_loads",
-    "target_failed",
+    "record_target_failure",
 ]
 
 # Backoff after an owner refuses memory; it doubles with each refusal in a row.
@@ -64,8 +64,8 @@
 
 def set_draining(sched: Scheduler, leaving: frozenset[str], now: float) -> None:
     """Sets the targets that get no new or queued work."""
-    if leaving != sched.leaving:
-        sched.leaving = leaving
+    if leaving != sched.draining:
+        sched.draining = leaving
         state.rebuild(sched, now)
         state.refresh(sched, now)
 
@@ -103,7 +103,7 @@
     return limits.demand(sched.limits, now)
 
 
-def report(
+def record_report(
     sched: Scheduler, target: str, load_report: interface.LoadReport, now: float
 ) -> None:
     """Processes a load report of a target."""
@@ -143,7 +143,7 @@
 ) -> list[messages.Placement | messages.Refusal]:
     """Returns the placements and refusals that are due now.
 
-    A placement counts as in flight until `finished` or `requeue`.
+    A placement counts as in flight until `record_completion` or `requeue`.
     """
     decisions: list[messages.Placement | messages.Refusal] = []
     for pool in sched.pools.values():
@@ -198,7 +198,7 @@
     return None
 
 
-def forget(sched: Scheduler, req: messages.Request) -> None:
+def cancel(sched: Scheduler, req: messages.Request) -> None:
     """Removes a queued request whose caller has disconnected."""
     pool = sched.pools.get((req.kind, req.model or req.deployment))
     if pool is not None:
@@ -207,7 +207,7 @@
     sched.avoid.pop(req.id, None)
 
 
-def first_token(
+def record_first_token(
     sched: Scheduler, placement: messages.Placement, now: float, *, sent: float
 ) -> None:
     """Records the first token of a request.
@@ -223,7 +223,7 @@
         inflight_requests.record_first_token(sched, inflight, now, now - sent)
 
 
-def finished(
+def record_completion(
     sched: Scheduler, placement: messages.Placement, now: float, *, ok: bool
 ) -> None:
     """Records the end of a placement and releases its memory."""
@@ -237,7 +237,7 @@
     sched.avoid.pop(placement.request.id, None)
 
 
-def target_failed(sched: Scheduler, target: str, now: float) -> None:
+def record_target_failure(sched: Scheduler, target: str, now: float) -> None:
     """Records a refused connection, broken stream or timeout."""
     tgt = sched.targets.get(target)
     if tgt is not None and sched.uses("ejection"):
--- a/copperloom/decisions/state.py
+++ b/copperloom/decisions/state.py
@@ -77,7 +77,7 @@
         self.policy = policies.make(policy, disable)
         self.rng = random.Random(seed)
         self.cfg = configuration.Configuration()
-        self.leaving: frozenset[str] = frozenset()
+        self.draining: frozenset[str] = frozenset()
         self.targets: dict[str, load.TargetLoad] = {}
         self.pools: dict[PoolKey, pool_module.Pool] = {}
         self.inflight: dict[str, InflightRequest] = {}
@@ -176,4 +176,4 @@
 
 def _takes_work(sched: Scheduler, target: configuration.Target) -> bool:
     admitted = target.state is configuration.TargetState.ADMITTED
-    return admitted and target.name not in sched.leaving
+    return admitted and target.name not in sched.draining
--- a/copperloom/decisions/tests/test_cold.py
+++ b/copperloom/decisions/tests/test_cold.py
@@ -41,7 +41,7 @@
 def report_memory(sched: scheduler.Scheduler, tokens: int) -> None:
     for name in sched.targets:
         report = interface.LoadReport("b", 0, tokens, 0, 0, 0, 0.0)
-        scheduler.report(sched, name, report, 0.0)
+        scheduler.record_report(sched, name, report, 0.0)
 
 
 class MemoryTest(unittest.TestCase):
--- a/copperloom/decisions/tests/test_config_staleness.py
+++ b/copperloom/decisions/tests/test_config_staleness.py
@@ -10,7 +10,7 @@
     loaded=True,
     version=5,
     confirmed_at=_NOW - 20,
-    told_version=5,
+    reported_version=5,
     contacts=1,
     members=9,
 )
@@ -36,7 +36,7 @@
         self.assertTrue(_refused(contacts=4, members=8))
 
     def test_work_is_refused_while_a_newer_version_is_not_fetched(self):
-        self.assertTrue(_refused(contacts=9, told_version=6))
+        self.assertTrue(_refused(contacts=9, reported_version=6))
 
     def test_single_member_admits_work(self):
         self.assertFalse(_refused(contacts=1, members=1))
--- a/copperloom/decisions/tests/test_invariants.py
+++ b/copperloom/decisions/tests/test_invariants.py
@@ -88,7 +88,7 @@
     def first_token(self, number):
         if self.placed:
             placement = self.placed[number % len(self.placed)]
-            scheduler.first_token(
+            scheduler.record_first_token(
                 self.sched, placement, self.now, sent=self.now
             )
 
@@ -98,10 +98,12 @@
             self.ended.add(placement.request.id)
             for _ in range(2):
                 ok = number % 2 == 0
-                scheduler.finished(self.sched, placement, self.now, ok=ok)
+                scheduler.record_completion(
+                    self.sched, placement, self.now, ok=ok
+                )
 
     def fail(self, number):
-        scheduler.target_failed(self.sched, f"e{number % 6}", self.now)
+        scheduler.record_target_failure(self.sched, f"e{number % 6}", self.now)
 
     def requeue(self, number):
         if not self.placed:
@@ -118,7 +120,7 @@
     def forget(self, number):
         if self.queued:
             name = sorted(self.queued)[number % len(self.queued)]
-            scheduler.forget(self.sched, self.queued.pop(name))
+            scheduler.cancel(self.sched, self.queued.pop(name))
             self.ended.add(name)
 
     def drain(self, number):
--- a/copperloom/decisions/tests/world.py
+++ b/copperloom/decisions/tests/world.py
@@ -193,7 +193,7 @@
         for sched in self.scheds:
             for name, load in reports.items():
                 load = dataclasses.replace(load, age_s=self.lag_s)
-                scheduler.report(sched, name, load, self.clock.now)
+                scheduler.record_report(sched, name, load, self.clock.now)
 
     def _exchange(self):
         now = self.clock.now
@@ -284,7 +284,7 @@
         self._close()
         self.world.unreachable += 1
         sched = self.world.scheds[self.index]
-        scheduler.target_failed(sched, name, self.world.clock.now)
+        scheduler.record_target_failure(sched, name, self.world.clock.now)
         self.world._requeue(self.placement, self.index, name)
         return False
 
@@ -292,7 +292,7 @@
         now = self.world.clock.now
         req = self.placement.request
         self.world.outcomes[req.id].first_s = now - req.arrived
-        scheduler.first_token(
+        scheduler.record_first_token(
             self.world.scheds[self.index], self.placement, now, sent=self.sent
         )
 
@@ -314,7 +314,7 @@
     def _finish(self, error, *, ok):
         self._close()
         world = self.world
-        scheduler.finished(
+        scheduler.record_completion(
             world.scheds[self.index], self.placement, world.clock.now, ok=ok
         )
         world._end(self.placement.request, error)
--- a/copperloom/experiments/control.py
+++ b/copperloom/experiments/control.py
@@ -47,7 +47,7 @@
             "10.1.2.3:9000",
             f"dc-{index % size.data_centres:02d}",
             boot="0123456789ab",
-            heard_at=now,
+            last_reply_at=now,
             listed_at=now,
         )
     return state
@@ -84,7 +84,9 @@
     instance = state.settings.entry.instance
 
     steps = {
-        "owners of all targets": lambda: reservation_owners.owned(state, now),
+        "owners of all targets": lambda: reservation_owners.owned_engines(
+            state, now
+        ),
         "choice of the engines watched": lambda: load_polling.watched(
             state.cfg, instance
         ),
--- a/copperloom/experiments/decisioncost.py
+++ b/copperloom/experiments/decisioncost.py
@@ -115,9 +115,16 @@
 def _finish(sched, timer, placement, now, *, full):
     sent = now - placement.request.prompt_tokens * 5e-5
     timer.call(
-        "finished", scheduler.first_token, sched, placement, now, sent=sent
+        "finished",
+        scheduler.record_first_token,
+        sched,
+        placement,
+        now,
+        sent=sent,
+    )
+    timer.call(
+        "finished", scheduler.record_completion, sched, placement, now, ok=True
     )
-    timer.call("finished", scheduler.finished, sched, placement, now, ok=True)
     if full:
         _fill_targets(sched)
 
@@ -148,7 +155,7 @@
     load = interface.LoadReport("b", 1, 400_000, 1, 0, 0, 0.5)
     start_ns = time.process_time_ns()
     for name in sched.targets:
-        scheduler.report(sched, name, load, 1e6)
+        scheduler.record_report(sched, name, load, 1e6)
     return (time.process_time_ns() - start_ns) / 1e9 / len(sched.targets)
 
 
--- a/copperloom/experiments/tests/test_capacity.py
+++ b/copperloom/experiments/tests/test_capacity.py
@@ -54,7 +54,9 @@
             if reservation_owners.owner_of(state, name, 1.0) == own
         }
         self.assertTrue(expected)
-        self.assertEqual(reservation_owners.owned(state, 1.0).keys(), expected)
+        self.assertEqual(
+            reservation_owners.owned_engines(state, 1.0).keys(), expected
+        )
 
 
 class WorkedTest(unittest.TestCase):
--- a/copperloom/experiments/worked.py
+++ b/copperloom/experiments/worked.py
@@ -182,7 +182,7 @@
 
 
 def _engines(costs, size, entry_settings) -> list[Row]:
-    watched = min(load_polling.WATCH_MOST, size.runners)
+    watched = min(load_polling.MAX_WATCHED, size.runners)
     polls = min(
         watched / entry_settings.targets.load_poll_s,
         entry_settings.targets.load_polls_per_s,
--- a/copperloom/filters/relay.py
+++ b/copperloom/filters/relay.py
@@ -149,6 +149,8 @@
     """Returns a callback that reports the first token to the scheduler."""
 
     def record(now: float) -> None:
-        scheduler.first_token(ex.state.sched, ex.placement, now, sent=sent_at)
+        scheduler.record_first_token(
+            ex.state.sched, ex.placement, now, sent=sent_at
+        )
 
     return record
--- a/copperloom/filters/schedule.py
+++ b/copperloom/filters/schedule.py
@@ -32,7 +32,7 @@
     now = asyncio.get_running_loop().time()
     refusal = scheduler.offer(ex.state.sched, ex.request, now)
     if refusal is not None:
-        raise dispatcher.error_of(refusal)
+        raise dispatcher.error_from(refusal)
     await _wait_for_placement(ex)
     succeeded = False
     try:
@@ -41,7 +41,9 @@
     finally:
         now = asyncio.get_running_loop().time()
         if ex.placement is not None:
-            scheduler.finished(ex.state.sched, ex.placement, now, ok=succeeded)
+            scheduler.record_completion(
+                ex.state.sched, ex.placement, now, ok=succeeded
+            )
         ex.state.wake.set()
 
 
@@ -76,7 +78,7 @@
     now = asyncio.get_running_loop().time()
     failed = ex.placement.targets[0]
     if not isinstance(error, _NOT_TARGET_FAILURES):
-        scheduler.target_failed(ex.state.sched, failed, now)
+        scheduler.record_target_failure(ex.state.sched, failed, now)
     ex.state.metrics.retries.labels(type(error).__name__).inc()
     logs.event(
         "attempt_failed",
@@ -103,7 +105,7 @@
     placement, ex.placement = ex.placement, None
     refusal = scheduler.requeue(ex.state.sched, placement, now, avoid=avoid)
     if refusal is not None:
-        raise dispatcher.error_of(refusal)
+        raise dispatcher.error_from(refusal)
     await _wait_for_placement(ex)
 
 
@@ -119,8 +121,8 @@
             out of date.
         copperloom.exception.TargetRefusedError: A target is draining.
     """
-    config.may_admit(ex.state, asyncio.get_running_loop().time())
-    draining = ex.state.sched.leaving.intersection(ex.placement.targets)
+    config.check_admission(ex.state, asyncio.get_running_loop().time())
+    draining = ex.state.sched.draining.intersection(ex.placement.targets)
     if draining:
         raise exception.TargetRefusedError(
             f"{min(draining)} is draining and takes no new work"
@@ -128,7 +130,7 @@
 
 
 async def _wait_for_placement(ex: exchange.Exchange) -> None:
-    future = dispatcher.expect(ex.state, ex.request.id)
+    future = dispatcher.register(ex.state, ex.request.id)
     ex.state.wake.set()
     try:
         ex.placement = await future
@@ -136,7 +138,7 @@
         _withdraw(ex, future)
         raise
     finally:
-        dispatcher.unexpect(ex.state, ex.request.id)
+        dispatcher.unregister(ex.state, ex.request.id)
 
 
 def _withdraw(ex: exchange.Exchange, future: asyncio.Future) -> None:
@@ -149,6 +151,8 @@
     placed = future.done() and not future.cancelled()
     if placed and future.exception() is None:
         now = asyncio.get_running_loop().time()
-        scheduler.finished(ex.state.sched, future.result(), now, ok=False)
+        scheduler.record_completion(
+            ex.state.sched, future.result(), now, ok=False
+        )
         return
-    scheduler.forget(ex.state.sched, ex.request)
+    scheduler.cancel(ex.state.sched, ex.request)
--- a/copperloom/filters/staleness.py
+++ b/copperloom/filters/staleness.py
@@ -23,5 +23,5 @@
         raise exception.StaleConfigurationError(
             "the entry has not loaded a configuration yet; try again later"
         )
-    config.may_admit(ex.state, asyncio.get_running_loop().time())
+    config.check_admission(ex.state, asyncio.get_running_loop().time())
     await nxt(ex)
--- a/copperloom/filters/tests/test_schedule.py
+++ b/copperloom/filters/tests/test_schedule.py
@@ -25,7 +25,7 @@
         config.adopt(self.entry, cfg, self.now)
         # With a second member the configuration needs to be confirmed.
         self.entry.members["b"] = types.SimpleNamespace(
-            heard_at=float("-inf"), version=0
+            last_reply_at=float("-inf"), version=0
         )
         self.request = messages.Request(
             id="a.b.1",
@@ -65,7 +65,7 @@
 
         Its target may have been retired while the process was suspended.
         """
-        future = dispatcher.expect(self.entry, self.request.id)
+        future = dispatcher.register(self.entry, self.request.id)
         scheduler.offer(self.entry.sched, self.request, self.now)
         next_step_at = dispatcher.step(self.entry, self.now)
         self.assertFalse(future.done())
--- a/copperloom/peers/server.py
+++ b/copperloom/peers/server.py
@@ -53,7 +53,7 @@
     async def Exchange(self, stream) -> None:  # noqa: N802
         request = await self.receive(stream)
         now = asyncio.get_running_loop().time()
-        digest_exchange.note_request(self.state, request, now)
+        digest_exchange.record_request(self.state, request, now)
         reply = digest.make(self.state, now)
         await self.send(
             stream, digest.add_peers(reply, self.state, request), request
@@ -63,7 +63,9 @@
         request = await self.receive(stream)
         now = asyncio.get_running_loop().time()
         await self.send(
-            stream, reservation_owners.grant(self.state, request, now), request
+            stream,
+            reservation_owners.grant_reservation(self.state, request, now),
+            request,
         )
 
     async def Release(self, stream) -> None:  # noqa: N802
