--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,7 +1,9 @@
 """Defines the kinds of faults that schedules consist of.
 
-Each fault is a coroutine function (case, trial, rng, duration_s). It draws
-what it affects from the generator, and clears the fault after its duration.
+Each fault is a coroutine function (case, trial, rng, duration_s) that draws
+what it affects from the generator. Faults of links and of the platform are
+cleared after their duration, those of a target's behaviour when the schedule
+ends.
 """
 
 import asyncio
@@ -103,7 +105,7 @@
 
 
 def _target_fault(**changes):
-    """Returns a fault that changes the behaviour of a target."""
+    """Returns a fault that changes a target until the schedule ends."""
 
     async def inject(case, trial, rng, duration_s) -> None:
         target = _choose_target(trial, rng)
