--- a/copperloom/controllers/tests/test_config.py
+++ b/copperloom/controllers/tests/test_config.py
@@ -157,6 +157,6 @@
 
 
 class _SilentMember:
-    heard_at = float("-inf")
+    last_reply_at = float("-inf")
     known_members = 2
     version = 0
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -62,10 +62,12 @@
     state.refresh(sched, now)
 
 
-def set_draining(sched: Scheduler, leaving: frozenset[str], now: float) -> None:
+def set_draining(
+    sched: Scheduler, draining: frozenset[str], now: float
+) -> None:
     """Sets the targets that get no new or queued work."""
-    if leaving != sched.draining:
-        sched.draining = leaving
+    if draining != sched.draining:
+        sched.draining = draining
         state.rebuild(sched, now)
         state.refresh(sched, now)
 
--- a/copperloom/decisions/state.py
+++ b/copperloom/decisions/state.py
@@ -57,7 +57,7 @@
         policy: The policy with its enabled mechanisms.
         rng: Generator for sampling and jitter.
         cfg: The configuration in force.
-        leaving: Draining targets, which get no new work.
+        draining: Draining targets, which get no new work.
         targets: Load by target name.
         pools: Pools by kind and model or service name.
         inflight: Requests in flight by request id.
