--- a/copperloom/controllers/draining.py
+++ b/copperloom/controllers/draining.py
@@ -41,7 +41,7 @@
     """Updates the scheduler's draining targets if they changed.
 
     Called at once for every report, since work is placed between steps. The
-    load controller records the targets' own reports in state.leaving_targets.
+    load controller records the targets' own reports in state.draining_targets.
     """
     drain_state = state.target_drain
     for name, at in list(state.draining_targets.items()):
--- a/copperloom/controllers/member.py
+++ b/copperloom/controllers/member.py
@@ -35,8 +35,8 @@
         instance: Name of its instance.
         address: IP:port where it listens for peers.
         data_centre: Its data centre; "" if unknown.
-        boot: Random name of its process's run, as of `last_reply_at`; "" if it has
-            never replied.
+        boot: Random name of its process's run, as of `last_reply_at`; "" if it
+            has never replied.
         leaving: Whether it or the platform reported that it is stopping.
         version: Greatest configuration version that it has reported.
         last_sent_at: Time at which a digest was last sent to it.
--- a/copperloom/controllers/tests/test_membership.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -190,7 +190,7 @@
     async def test_draining_reaches_entry_without_platform(self):
         disconnected = self.fleet[-1]
         fleet.disconnect_platform(self, disconnected)
-        self.fleet[0].leaving_targets["t"] = time.monotonic()
+        self.fleet[0].draining_targets["t"] = time.monotonic()
         await fixtures.until(
             lambda: "t" in disconnected.sched.draining, _SPREAD_S
         )
--- a/copperloom/decisions/config_staleness.py
+++ b/copperloom/decisions/config_staleness.py
@@ -86,7 +86,10 @@
     if now - evidence.confirmed_at <= confirm_s:
         return None
     if evidence.reported_version > evidence.version:
-        return f"version {evidence.reported_version} is in force but not fetched yet"
+        return (
+            f"version {evidence.reported_version} is in force "
+            "but not fetched yet"
+        )
     if not has_fleet_view(evidence):
         return "no contact with any member, and not in the platform's list"
     if in_majority(evidence):
