--- a/copperloom/controllers/cancels.py
+++ b/copperloom/controllers/cancels.py
@@ -1,9 +1,9 @@
 """Cancels of streams that engines have not confirmed yet.
 
-A lost cancel would waste the memory of a stream until its answer ends, and
-leak that of a held part. Each cancel is therefore retried until its engine
-confirms it. A restarted engine confirms cancels of unknown streams, so a new
-boot needs no special handling.
+If a cancel were lost, its stream would occupy engine memory until the answer
+ends, and a held part of a prompt would occupy it forever. Each cancel is
+therefore retried until its engine confirms it. A restarted engine confirms
+cancels of unknown streams, so a new boot needs no special handling.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 
 _TIMEOUT_S = 2.0
 _FIRST_RETRY_S = 0.2
-# Limits the load of all entries' retries on a failed engine, and the delay
-# until a recovered one gets its memory back.
+# Long enough that the retries of all entries don't overload a failing engine,
+# and short enough that a recovered one soon frees its memory.
 _MAX_RETRY_S = 10.0
 # Cancels at an engine that is no longer configured are dropped if it has not
 # replied for this duration.
@@ -88,7 +88,8 @@
         cancels: Unconfirmed cancels of the entry.
         targets: Client of the targets.
         now: Monotonic time in seconds.
-        is_configured: Returns whether a configured target has an address.
+        is_configured: Returns whether an address is that of a configured
+            target.
         spawn: Starts a task for a coroutine.
     """
     for address, engine in list(cancels.engines.items()):
--- a/copperloom/controllers/changes.py
+++ b/copperloom/controllers/changes.py
@@ -20,7 +20,7 @@
 HEAD = "config/head"
 CHANGE_PREFIX = "config/change/"
 AUDIT_PREFIX = "audit/"
-_CALL_S = 2.0
+_CALL_TIMEOUT_S = 2.0
 _RETRY_S = 0.1
 _MAX_RETRY_S = 1.0
 
@@ -143,7 +143,7 @@
         if time.monotonic() + wait_s >= deadline:
             raise exception.ChangeUnknownError(
                 f"change {change.nonce} of version {change.version} may or may "
-                "not have taken effect: the platform did not confirm it in time"
+                "not have taken effect: the platform did not confirm it"
             )
         await asyncio.sleep(wait_s)
         wait_s = min(2 * wait_s, _MAX_RETRY_S)
@@ -154,7 +154,7 @@
 
 
 def _call_timeout_s(deadline: float) -> float:
-    return max(0.05, min(_CALL_S, deadline - time.monotonic()))
+    return max(0.05, min(_CALL_TIMEOUT_S, deadline - time.monotonic()))
 
 
 def _transaction(change: configuration.Change):
@@ -189,7 +189,8 @@
     )
     if committed is None:
         raise exception.ChangeLostError(
-            f"version {change.version - 1} is not the newest version"
+            f"nothing was changed: version {change.version - 1} is not the "
+            "newest version"
         )
     if committed.nonce != change.nonce:
         raise exception.ChangeLostError(
@@ -216,7 +217,7 @@
                 continue
             raise exception.ChangeUnknownError(
                 f"version {version} exists, but the change that created it "
-                "could not be read in time"
+                "could not be read within the time limit"
             ) from error
         if row.version == 0:
             return None
--- a/copperloom/controllers/config.py
+++ b/copperloom/controllers/config.py
@@ -44,7 +44,7 @@
     row = await state.platform.read(changes.HEAD, timeout_s=timeout_s)
     newest = row.version
     if newest < state.cfg.version:
-        # A platform that lost writes must not make a change revert here.
+        # A platform that lost writes must not make this entry revert changes.
         event(
             "head_behind",
             level="ERROR",
--- a/copperloom/controllers/config_fetch.py
+++ b/copperloom/controllers/config_fetch.py
@@ -19,8 +19,8 @@
 
 # Longer than a healthy platform takes to return the head and the changes, and
 # short compared with the time in which all entries must know a retired target.
-_PLATFORM_FIRST_S = 0.3
-_FETCH_S = 2.0
+_PLATFORM_WAIT_S = 0.3
+_FETCH_TIMEOUT_S = 2.0
 
 
 def is_behind(state) -> bool:
@@ -34,7 +34,7 @@
     loop = asyncio.get_running_loop()
     poll = asyncio.ensure_future(config.step(state, loop.time()))
     try:
-        await asyncio.wait([poll], timeout=_PLATFORM_FIRST_S)
+        await asyncio.wait([poll], timeout=_PLATFORM_WAIT_S)
         if is_behind(state):
             await _fetch_from_peer(state, loop.time())
         await poll
@@ -67,7 +67,7 @@
         best.address,
         "Fetch",
         peers_pb2.FetchRequest(after_version=state.cfg.version),
-        timeout_s=_FETCH_S,
+        timeout_s=_FETCH_TIMEOUT_S,
     )
     cfg = state.cfg
     if reply.snapshot:
--- a/copperloom/controllers/digest_exchange.py
+++ b/copperloom/controllers/digest_exchange.py
@@ -14,7 +14,7 @@
 
 __all__ = ["exchange", "exchange_all", "call", "record_request"]
 
-_EXCHANGE_S = 1.0
+_EXCHANGE_TIMEOUT_S = 1.0
 
 
 async def exchange(state, instance: str) -> None:
@@ -30,7 +30,7 @@
             peer.address,
             "Exchange",
             digest.make(state, now),
-            timeout_s=_exchange_s(state),
+            timeout_s=_exchange_timeout_s(state),
         )
     except exception.PeerUnavailableError:
         reply = None
@@ -51,9 +51,10 @@
 def record_request(state, received: peers_pb2.Digest, now: float) -> None:
     """Records the digest of a peer that started an exchange.
 
-    The message may have been delayed for long, so it proves neither contact
-    nor the peer's current run nor a confirmation. Versions and departures stay
-    true however late they arrive.
+    The message may be old. It therefore doesn't prove that the peer is in
+    contact, which run of the peer is the current one, or that a configuration
+    is the newest. Versions and draining targets are valid however late they
+    arrive.
 
     Args:
         state: The entry's state.
@@ -79,7 +80,7 @@
         loads=_loads_of(received),
         demand=_demand_of(received),
     )
-    _record_departures(state, received, now)
+    _record_draining_targets(state, received, now)
     if config_fetch.is_behind(state):
         member.spawn(state, "fetch", config_fetch.run(state))
 
@@ -122,8 +123,8 @@
         raise
 
 
-def _exchange_s(state) -> float:
-    return min(_EXCHANGE_S, state.settings.membership.suspect_s / 3)
+def _exchange_timeout_s(state) -> float:
+    return min(_EXCHANGE_TIMEOUT_S, state.settings.membership.suspect_s / 3)
 
 
 def _record_failure(state, instance: str) -> None:
@@ -151,10 +152,10 @@
         demand=_demand_of(reply),
     )
     if state.cfg_loaded and reply.config_version <= state.cfg.version:
-        # If the peer's older version was the newest then, the version held
-        # here was made later.
+        # If the peer's version was the newest at that time, none newer than
+        # the version held here existed then.
         config.confirm(state, digest.confirmed_at(reply, sent_at))
-    _record_departures(state, reply, sent_at)
+    _record_draining_targets(state, reply, sent_at)
     _record_peers(state, reply, sent_at)
 
 
@@ -169,9 +170,9 @@
     return tuple((d.organisation, d.tokens_per_s) for d in received.demand)
 
 
-def _record_departures(state, received, now: float) -> None:
-    for departure in received.leaving_targets:
-        draining.mark(state, departure.target, departure.version, now)
+def _record_draining_targets(state, received, now: float) -> None:
+    for report in received.leaving_targets:
+        draining.mark(state, report.target, report.version, now)
 
 
 def _record_peers(state, reply, now: float) -> None:
--- a/copperloom/controllers/draining.py
+++ b/copperloom/controllers/draining.py
@@ -17,7 +17,7 @@
     Args:
         state: The entry's state.
         target: Name of the target.
-        version: Configuration version under which the peer learnt it.
+        version: Configuration version under which the draining was reported.
         now: Monotonic seconds.
     """
     known = state.target_drain.marks.get(target, -1)
@@ -40,8 +40,9 @@
 def refresh(state, now: float) -> None:
     """Updates the scheduler's draining targets if they changed.
 
-    Called at once for every report, since work is placed between steps. The
-    load controller records the targets' own reports in state.draining_targets.
+    Called for every report and not only in each step, since work is placed
+    between steps. `load_polling` records the targets' own reports in
+    state.draining_targets.
     """
     drain_state = state.target_drain
     for name, at in list(state.draining_targets.items()):
--- a/copperloom/controllers/leases.py
+++ b/copperloom/controllers/leases.py
@@ -73,7 +73,7 @@
 
 
 def drop(leases: Leases, target: str) -> None:
-    """Stops using a lease, for example after an engine has refused it."""
+    """Removes a lease, for example after an engine has refused it."""
     leases.held.pop(target, None)
 
 
--- a/copperloom/controllers/load_polling.py
+++ b/copperloom/controllers/load_polling.py
@@ -67,8 +67,8 @@
         targets: The targets to choose from.
         now: Monotonic seconds.
     """
-    own = state.settings.targets
-    max_polls = max(1, round(own.load_polls_per_s * own.load_poll_s))
+    settings = state.settings.targets
+    max_polls = max(1, round(settings.load_polls_per_s * settings.load_poll_s))
     idle = [tgt for tgt in targets if tgt.name not in state.polling]
     return heapq.nsmallest(
         max_polls, idle, key=lambda tgt: state.polled_at.get(tgt.name, 0.0)
--- a/copperloom/controllers/member.py
+++ b/copperloom/controllers/member.py
@@ -22,8 +22,8 @@
 # Number of entries that read the platform's list in each poll interval.
 _LIST_READERS = 9
 _LIST_GRACE_S = 10.0
-# A single lost message doesn't make a member fail, since moving its targets to
-# another owner costs the lifetime of a reservation.
+# A single lost message doesn't make a member count as failed, since a new owner
+# of its targets grants no memory for one reservation lifetime.
 _FAILURE_THRESHOLD = 2
 
 
@@ -41,8 +41,8 @@
         version: Greatest configuration version that it has reported.
         last_sent_at: Time at which a digest was last sent to it.
         last_reply_at: Latest time of sending a digest to which it replied.
-        last_received_at: Time at which it last sent a digest of its own accord,
-            or was learnt of through another member.
+        last_received_at: Time at which it last started an exchange of digests,
+            or was discovered through another member.
         listed_at: Latest time at which the platform's list named it.
         failures: Unanswered calls since its last reply.
         known_members: Number of members that it knows, itself included.
@@ -124,7 +124,7 @@
     The size of the list grows with the fleet, so that reads by all entries at
     a fixed interval would exceed the traffic budget for control. The interval
     therefore grows with the fleet: the number of reads per interval stays that
-    of a small fleet, and digests spread what the list says.
+    of a small fleet, and digests spread the contents of the list.
 
     Args:
         poll_s: The interval of the settings, in seconds.
--- a/copperloom/controllers/membership.py
+++ b/copperloom/controllers/membership.py
@@ -24,7 +24,7 @@
 
 _NEVER = float("-inf")
 # One digest in this many goes to another data centre, so that configuration
-# versions still cross when the platform's service does not replicate them.
+# versions reach it even if the platform does not replicate them.
 _REMOTE_EVERY = 4
 # Up to this number of entries the settings alone determine the digest rate.
 _SMALL_FLEET = 9
@@ -64,19 +64,20 @@
         member.spawn(state, "fetch", config_fetch.run(state))
 
 
-def exchanges_per_s(own: options.MembershipSection, entries: int) -> float:
+def exchanges_per_s(settings: options.MembershipSection, entries: int) -> float:
     """Returns the number of digests that an entry sends per second.
 
     In a large fleet the rate of a small one would exceed the traffic budget
     for control, and most digests would repeat what the platform's list has
     already reported. The rate therefore falls as the fleet grows, down to a
-    minimum at which a departure still crosses a data centre within seconds.
+    minimum at which a report of a draining target still reaches all entries of
+    a data centre within seconds.
 
     Args:
-        own: The settings of the membership.
+        settings: The settings of the membership.
         entries: Number of entries in the fleet.
     """
-    full_rate = own.exchange_fanout / own.exchange_s
+    full_rate = settings.exchange_fanout / settings.exchange_s
     share = min(1.0, _SMALL_FLEET / entries)
     return max(full_rate * share, min(full_rate, _MIN_EXCHANGES_PER_S))
 
@@ -144,15 +145,17 @@
 def _choose_peers(state, now: float) -> list[member.Member]:
     """Chooses the members to exchange digests with in this step.
 
-    Those with the oldest exchange come first, up to the fan-out. Only while
-    this entry has no proof that its configuration is the newest, it contacts
-    all members, since it then has to know whether it reaches a majority.
+    Those with the oldest exchange come first, up to the fan-out. An entry
+    without recent proof that its configuration is the newest contacts all
+    members instead, to find out whether it reaches a majority.
     """
-    own = state.settings.membership
-    unconfirmed = now - state.confirmed_at > own.confirm_s / 2
+    settings = state.settings.membership
+    unconfirmed = now - state.confirmed_at > settings.confirm_s / 2
     members = sorted(state.members.values(), key=lambda m: m.last_sent_at)
     if unconfirmed or not state.cfg_loaded:
-        return [m for m in members if m.last_sent_at <= now - own.suspect_s / 3]
+        return [
+            m for m in members if m.last_sent_at <= now - settings.suspect_s / 3
+        ]
     failing = [m for m in members if m.failures]
     members = [m for m in members if not m.failures]
     data_centre = state.settings.entry.data_centre
@@ -165,7 +168,9 @@
     remote_due = sum(1 for number in numbers if number % _REMOTE_EVERY == 0)
     # Failing members are retried one at a time, so that healthy ones keep most
     # of the fan-out.
-    chosen = [m for m in failing[:1] if m.last_sent_at <= now - own.suspect_s]
+    chosen = [
+        m for m in failing[:1] if m.last_sent_at <= now - settings.suspect_s
+    ]
     chosen = chosen[:fanout]
     chosen += remote[: max(remote_due, fanout - len(local))]
     return chosen + local[: max(0, fanout - len(chosen))]
@@ -173,10 +178,10 @@
 
 def _take_due(state) -> int:
     """Returns the number of exchanges due in this step and counts them."""
-    own = state.settings.membership
+    settings = state.settings.membership
     membership = state.membership
-    rate = exchanges_per_s(own, len(state.members) + 1)
-    membership.credit += rate * own.exchange_s
+    rate = exchanges_per_s(settings, len(state.members) + 1)
+    membership.credit += rate * settings.exchange_s
     count = int(membership.credit)
     membership.credit -= count
     membership.exchanges += count
@@ -185,12 +190,12 @@
 
 def _prune(state, now: float) -> None:
     """Removes members that stopped or are neither listed nor in contact."""
-    own = state.settings.membership
+    settings = state.settings.membership
     list_is_fresh = member.list_is_fresh(state, now)
     for peer in list(state.members.values()):
         last = max(peer.last_reply_at, peer.last_received_at)
         silent_s = now - max(last, peer.listed_at)
-        stopped = peer.leaving and now - last > own.dead_s
+        stopped = peer.leaving and now - last > settings.dead_s
         if stopped or (list_is_fresh and silent_s > _RETENTION_S):
             del state.members[peer.instance]
             event("member_forgotten", peer=peer.instance)
--- a/copperloom/controllers/model_orders.py
+++ b/copperloom/controllers/model_orders.py
@@ -3,8 +3,8 @@
 An order is a command to an engine, sent under a lease with a fencing number
 (see copperloom.controllers.leases), so that only one entry at a time commands
 an engine. The engine's owner compares the configured models with those that
-the engine reports and orders the missing ones. An order that was lost, or a
-late one of a previous holder, is corrected by a later comparison.
+the engine reports and orders the missing ones. A later comparison corrects the
+effect of an order that was lost or that a previous holder sent late.
 """
 
 import asyncio
--- a/copperloom/controllers/orphans.py
+++ b/copperloom/controllers/orphans.py
@@ -9,18 +9,17 @@
 
 __all__ = ["OwnerBoots", "is_orphan", "record"]
 
-
 # Must exceed any configured `dead_s`.
 _RETENTION_S = 7200.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _CurrentBoot:
-    """The last boot of an instance that sent a message.
+    """The boot of an instance that sent the instance's last message.
 
     Attributes:
         boot: Name of the boot.
-        since: Monotonic time of its first message since another boot's.
+        since: Monotonic time of its first message after those of another boot.
         last_received_at: Monotonic time of its last message.
     """
 
@@ -46,7 +45,7 @@
 
 
 def record(owners: OwnerBoots, instance: str, boot: str, at: float) -> None:
-    """Records that an entry sent a message at a time; idempotent."""
+    """Records the time of a message from an entry; idempotent."""
     name = f"{instance}.{boot}"
     owners.last_received_at[name] = max(
         at, owners.last_received_at.get(name, at)
@@ -63,7 +62,7 @@
 
 
 def _remove_silent(owners: OwnerBoots, before: float) -> None:
-    """Removes boots that are long silent, as unknown boots count as silent."""
+    """Removes long silent boots; unknown boots count as silent as well."""
     for name, at in list(owners.last_received_at.items()):
         if at < before:
             del owners.last_received_at[name]
--- a/copperloom/controllers/reclaim.py
+++ b/copperloom/controllers/reclaim.py
@@ -58,7 +58,7 @@
             break
         except exception.CopperloomError:
             await asyncio.sleep(_LIST_TIMEOUT_S)
-    owner = next((i.owner for i in streams if i.stream == stream), "")
+    owner = next((s.owner for s in streams if s.stream == stream), "")
     if owner == state.owner:
         cancel(state, address, stream)
 
@@ -68,7 +68,7 @@
     _run_due(state, now)
     _record_boots(state, now)
     targets = state.cfg.targets
-    # The reservation book has a ledger for each engine that this entry owns.
+    # There is a ledger of reservations for each engine that this entry owns.
     engines = [targets[n] for n in state.book.ledgers if n in targets]
     await asyncio.gather(*(_cancel_orphans(state, tgt) for tgt in engines))
 
--- a/copperloom/controllers/records.py
+++ b/copperloom/controllers/records.py
@@ -178,16 +178,17 @@
         return Claim(own.key, stored, row.version, replay=True)
     if stored.phase == Phase.DONE:
         raise exception.KeyInUseError(
-            f"completed as {stored.request}; its answer was too long to store",
+            f"the request completed as {stored.request}, but its answer was "
+            "too long to store",
             run=exception.Run.MAY_HAVE_RUN,
         )
     if stored.phase == Phase.FAILED:
         raise exception.KeyInUseError(
-            f"failed as {stored.request} with code {stored.code}",
+            f"the request failed as {stored.request} with code {stored.code}",
             run=exception.Run(stored.run),
         )
     raise exception.KeyInUseError(
-        f"in progress as {stored.request}", retry_after_s=1.0
+        f"the request is in progress as {stored.request}", retry_after_s=1.0
     )
 
 
--- a/copperloom/controllers/reservation_owners.py
+++ b/copperloom/controllers/reservation_owners.py
@@ -41,8 +41,8 @@
 def owner_of(state, target: str, now: float) -> str:
     """Returns the instance that keeps a target's reservations.
 
-    Chooses among the live members in the target's data centre, for low
-    latency, or among all live members if there are none there.
+    It is one of the live members in the target's data centre, for low latency,
+    or of all live members if there are none there.
     """
     tgt = state.cfg.targets.get(target)
     centre = tgt.data_centre if tgt else ""
@@ -58,18 +58,18 @@
     """
     own = state.settings.entry.instance
     candidates = _candidates(state, now)
-    found = {}
+    owned = {}
     for tgt in state.cfg.targets.values():
         if tgt.kind is not configuration.TargetKind.ENGINE:
             continue
         names = _instances_in(candidates, tgt.data_centre)
         if own in names and _choose_owner(names, tgt.name) == own:
-            found[tgt.name] = tgt
-    return found
+            owned[tgt.name] = tgt
+    return owned
 
 
 async def step(state, now: float) -> None:
-    """Updates the ledgers of owned engines and renews own reservations."""
+    """Updates the ledgers of owned engines and renews held reservations."""
     engines = owned_engines(state, now)
     for target in state.book.ledgers.keys() - engines.keys():
         reservation.close_target(state.book, target)
@@ -181,7 +181,7 @@
 
 
 def _choose_owner(names: list[str], target: str) -> str:
-    """Chooses by rendezvous hashing, with the same result at all entries."""
+    """Returns the owner by rendezvous hashing, the same at all entries."""
     return max(
         names, key=lambda n: xxhash.xxh64_intdigest(f"{n}/{target}".encode())
     )
@@ -193,7 +193,7 @@
         return
     if reply.not_owner:
         raise exception.PeerUnavailableError(
-            f"ownership of {target} is changing"
+            f"nothing was reserved at {target}: its owner is changing"
         )
     raise exception.CapacityExceededError(
         f"{target} has no free memory for {tokens} tokens",
--- a/copperloom/controllers/snapshot.py
+++ b/copperloom/controllers/snapshot.py
@@ -10,7 +10,7 @@
 # Number of versions between snapshots.
 EVERY = 50
 ROW = "config/snapshot"
-_CALL_S = 5.0
+_CALL_TIMEOUT_S = 5.0
 
 
 class _Snapshot(msgspec.Struct):
@@ -68,23 +68,23 @@
     The object is written before the row that refers to it, so that a reader
     never loads an incomplete one.
     """
-    row = await platform.read(ROW, timeout_s=_CALL_S)
+    row = await platform.read(ROW, timeout_s=_CALL_TIMEOUT_S)
     if row.version and _pointer(row).version >= cfg.version:
         return
     name = f"config-{cfg.version:012d}"
-    await platform.put_object(name, encode(cfg), timeout_s=_CALL_S)
+    await platform.put_object(name, encode(cfg), timeout_s=_CALL_TIMEOUT_S)
     pointer = msgspec.to_builtins(_Pointer(cfg.version, name))
     await platform.transact(
         [interface.Condition(ROW, row.version)],
         [interface.Write(ROW, pointer)],
-        timeout_s=_CALL_S,
+        timeout_s=_CALL_TIMEOUT_S,
     )
 
 
 async def load(
     platform: interface.Platform, *, timeout_s: float
 ) -> configuration.Configuration | None:
-    """Returns the configuration of the newest snapshot, or None."""
+    """Returns the configuration of the newest snapshot, or None without one."""
     row = await platform.read(ROW, timeout_s=timeout_s)
     if not row.version:
         return None
--- a/copperloom/controllers/sweep.py
+++ b/copperloom/controllers/sweep.py
@@ -87,8 +87,8 @@
     holder_version, state.sweep.holder_version = state.sweep.holder_version, 0
     if not holder_version:
         holder_version = await _take_over(state, timeout_s)
-    # Scan only after the takeover: rows read earlier may have been removed and
-    # claimed again since.
+    # The scan follows the increment of the version, since rows read earlier may
+    # have been removed and claimed again.
     rows = await state.platform.scan(
         _PREFIX, after=state.sweep.after, limit=_PAGE_ROWS, timeout_s=timeout_s
     )
--- a/copperloom/controllers/tests/test_config.py
+++ b/copperloom/controllers/tests/test_config.py
@@ -79,8 +79,7 @@
     async def test_lost_confirmation_is_resolved(self):
         """A committed change must not be reported as lost.
 
-        The repeated transaction conflicts with the first, whose confirmation
-        was lost; the nonce of the change row shows that they are the same.
+        The repeated transaction conflicts with its own unconfirmed first copy.
         """
         await fixtures.control(self.standin, lose_confirmations=1)
         self.assertEqual(await commit(self.entry, fixtures.target("t")), 1)
--- a/copperloom/controllers/tests/test_membership.py
+++ b/copperloom/controllers/tests/test_membership.py
@@ -101,8 +101,7 @@
     async def test_minority_with_platform_accepts_no_change(self):
         """A change accepted by a minority would not reach the majority.
 
-        The majority, partitioned from the platform and the minority, keeps
-        admitting work under the version it holds.
+        The majority, cut off from the platform, keeps admitting work.
         """
         minority, majority = self.fleet[:2], self.fleet[2:]
         fleet.partition(minority, majority)
--- a/copperloom/controllers/tests/test_records.py
+++ b/copperloom/controllers/tests/test_records.py
@@ -104,8 +104,7 @@
     async def test_late_claim_of_a_not_run_record_fails(self):
         """Guards against a key blocked by a late claim of a "not run" record.
 
-        The request timed out before its claim took effect, and must replace
-        the older "not run" with its own.
+        The request that timed out must write its own "not run" record.
         """
         self.table.faults = ["down"]
         with self.assertRaises(exception.PlatformDownError):
--- a/copperloom/controllers/validation.py
+++ b/copperloom/controllers/validation.py
@@ -35,7 +35,7 @@
             message names the entity and the problem.
     """
     if not 0 < len(puts) + len(deletes) <= MAX_ENTITIES:
-        _fail(f"a change must hold 1 to {MAX_ENTITIES} entities")
+        _fail(f"a change must put or delete 1 to {MAX_ENTITIES} entities")
     entities = [_decode_entity(key, value) for key, value in puts]
     change = configuration.Change(
         version=cfg.version + 1,
@@ -145,7 +145,7 @@
     if after.preset.name != chosen.preset:
         # In the opposite order the change would apply the default preset
         # without an error.
-        _fail("a change must put a preset before it puts it in force")
+        _fail("a change must put a preset before the entity that selects it")
 
 
 def _check_delete(cfg, after, key: str) -> None:
--- a/copperloom/filters/answers.py
+++ b/copperloom/filters/answers.py
@@ -83,7 +83,7 @@
             if piece.text:
                 events.append(self.delta + _encode(piece.text) + self.suffix)
             if piece.final:
-                events.append(self._final(piece))
+                events.append(self._encode_final(piece))
         if events:
             await self.ex.response.write(b"".join(events))
 
@@ -100,7 +100,7 @@
         self.ex.response = response
         await response.prepare(self.ex.http)
 
-    def _final(self, piece: Piece) -> bytes:
+    def _encode_final(self, piece: Piece) -> bytes:
         usage = b""
         if self.ex.request is not None:
             usage = b',"usage":' + _encode(_usage(self.ex))
@@ -138,7 +138,7 @@
             self.buffer.append(_encode(piece.text)[1:-1])
             self.buffered_bytes += len(self.buffer[-1])
             if piece.final:
-                self.buffer.append(self._final(piece))
+                self.buffer.append(self._encode_final(piece))
         if self.buffered_bytes > _MAX_BUFFERED_BYTES:
             await self._flush()
 
@@ -165,7 +165,7 @@
         if buffered:
             await self.ex.response.write(b"".join(buffered))
 
-    def _final(self, piece: Piece) -> bytes:
+    def _encode_final(self, piece: Piece) -> bytes:
         return (
             b'"},"finish_reason":'
             + _encode(piece.final)
@@ -176,7 +176,7 @@
 
 
 def stream_headers(ex: exchange.Exchange) -> dict[str, str]:
-    """Returns the headers of every answer."""
+    """Returns the headers that all answers have in common."""
     headers = {"X-Copperloom-Request": ex.id}
     if ex.stream_path:
         headers["X-Copperloom-Stream"] = ex.stream_path
--- a/copperloom/filters/attempt.py
+++ b/copperloom/filters/attempt.py
@@ -109,7 +109,7 @@
 
 
 def resume_stream(ex: exchange.Exchange, attempt: Attempt):
-    """Returns the source of the tokens that are still missing."""
+    """Returns an iterator over the pieces that are still missing."""
     timeout_s = ex.deadline - asyncio.get_running_loop().time()
     return ex.state.targets.resume(
         attempt.address,
--- a/copperloom/filters/estimate.py
+++ b/copperloom/filters/estimate.py
@@ -7,7 +7,7 @@
 
 __all__ = ["estimate_chat", "estimate_service"]
 
-# Looking up a shorter prefix costs more than its prefill saves.
+# The lookup of a shorter cached prefix costs more than the prefill it saves.
 _PREFIX_BYTES = 4096
 # HTTP defines these methods as idempotent.
 _IDEMPOTENT_METHODS = frozenset(["GET", "HEAD", "PUT", "DELETE", "OPTIONS"])
--- a/copperloom/filters/read.py
+++ b/copperloom/filters/read.py
@@ -126,17 +126,17 @@
 def _set_deployment(
     ex: exchange.Exchange, name: str, kind: configuration.TargetKind
 ) -> None:
-    found = ex.cfg.deployments.get(name)
-    if found is None or found.kind is not kind:
+    deployment = ex.cfg.deployments.get(name)
+    if deployment is None or deployment.kind is not kind:
         raise exception.UnknownDeploymentError(
             "no deployment for this kind of request is configured under the"
             f" name {name!r}"
         )
-    allowed = found.organisations
+    allowed = deployment.organisations
     if allowed and ex.organisation.name not in allowed:
         raise exception.NotAuthorisedError()
-    ex.deployment = found
-    set_deadline(ex, found.time_limit_s)
+    ex.deployment = deployment
+    set_deadline(ex, deployment.time_limit_s)
 
 
 def set_deadline(ex: exchange.Exchange, default_s: float) -> None:
--- a/copperloom/filters/schedule.py
+++ b/copperloom/filters/schedule.py
@@ -19,7 +19,8 @@
     "schedule",
 ]
 
-# The lack of an owner's consent says nothing about the target's health.
+# Raised because of a reservation or the entry's configuration, and unrelated to
+# the target's health.
 _NOT_TARGET_FAILURES = (
     exception.PeerUnavailableError,
     exception.CapacityExceededError,
@@ -112,9 +113,9 @@
 def check_placement(ex: exchange.Exchange) -> None:
     """Raises unless the placement is still valid.
 
-    A placement may be outdated when the process was suspended, or waited for
-    an owner's consent. A target that started to drain meanwhile must not get
-    new work.
+    A placement may be outdated if the process was suspended or the request
+    waited for a reservation. A target that started to drain meanwhile must not
+    get new work.
 
     Raises:
         copperloom.exception.StaleConfigurationError: The configuration may be
--- a/copperloom/filters/staleness.py
+++ b/copperloom/filters/staleness.py
@@ -13,7 +13,7 @@
     """Passes a request on only if the configuration is known to be in force.
 
     A partitioned entry would otherwise apply an old preset, or send work to a
-    retired target, after operators were told that their change is in force.
+    retired target, after operators have seen that their change is in force.
 
     Raises:
         copperloom.exception.StaleConfigurationError: The configuration may be
--- a/copperloom/filters/tests/test_relay.py
+++ b/copperloom/filters/tests/test_relay.py
@@ -125,8 +125,7 @@
     async def test_stream_lost_before_its_first_token_runs_elsewhere(self):
         """A restart of the engine before the first token must stay hidden.
 
-        Another engine must run the work. The caller would otherwise get a 404
-        for a resume that it did not request.
+        The caller would otherwise get a 404 for a resume it did not request.
         """
         self.script.breaks = [0]
         self.script.resume_error = exception.StreamUnknownError()
--- a/copperloom/filters/tests/test_token_batching.py
+++ b/copperloom/filters/tests/test_token_batching.py
@@ -24,7 +24,7 @@
         self.assertEqual(delays(0.005, 1, 5)[1:], [_MAX_DELAY_S] * 4)
 
     def test_slow_stream_is_not_delayed(self):
-        """At 72 ms between tokens a delay would batch none."""
+        """A delay must not slow down a stream whose tokens it cannot batch."""
         self.assertEqual(delays(0.072, 1, 20), [0.0] * 20)
 
     def test_stream_that_slows_down_is_no_longer_delayed(self):
--- a/copperloom/filters/token_batching.py
+++ b/copperloom/filters/token_batching.py
@@ -13,7 +13,8 @@
 
 # A delay pays only if it batches more than one token per read.
 _MIN_TOKENS = 1.5
-# Weight of the newest gap in the average; a few reads follow a change.
+# Weight of the newest gap in the moving average, which follows a change of the
+# rate within a few reads.
 _NEWEST_WEIGHT = 0.3
 
 
--- a/copperloom/targets/groups.py
+++ b/copperloom/targets/groups.py
@@ -1,4 +1,4 @@
-"""Runs a prompt that is larger than one engine on a group of engines.
+"""Runs a prompt that exceeds one engine's memory on a group of engines.
 
 Each helper engine prefills a part of the prompt and holds it in memory. The
 lead engine imports these parts and decodes. The work starts only if all parts
--- a/copperloom/targets/http.py
+++ b/copperloom/targets/http.py
@@ -258,7 +258,7 @@
 async def _convert_errors(
     req: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Converts connection errors into errors that tell whether the work ran.
+    """Converts connection errors into errors that state whether the work ran.
 
     The conversion also prevents aiohttp's own retries of GET, PUT and DELETE on
     a broken keep-alive connection, which react only to aiohttp's errors. Such a
--- a/copperloom/targets/interface.py
+++ b/copperloom/targets/interface.py
@@ -45,7 +45,7 @@
         prefix: Hash of the prompt's start, for the prefix cache.
         key: Idempotency key ("" if none), for the engine's own records.
         hold: Whether to only fill the KV memory and hold it for export (a part
-            of a prompt that is larger than one engine).
+            of a prompt that exceeds one engine's memory).
         imports: KV handles of other engines' parts (ADDRESS/STREAM).
     """
 
--- a/copperloom/targets/stalls.py
+++ b/copperloom/targets/stalls.py
@@ -45,7 +45,8 @@
 
     Args:
         read: Returns bytes as soon as there are any.
-        stop: Called when a read has stalled; must make it end.
+        stop: Called when a read has stalled; must make that read return or
+            raise.
         limit_s: Maximum duration of a read, in seconds.
         started: Whether the answer has already started. If not, the first read
             has no limit, since queueing and prefill may take minutes.
