--- a/copperloom/controllers/cancels.py
+++ b/copperloom/controllers/cancels.py
@@ -100,16 +100,14 @@
         is_idle = engine.task is None or engine.task.done()
         has_due = any(due <= now for due in engine.due.values())
         if is_idle and has_due and engine.retry_at <= now:
-            engine.task = spawn(
-                _retry_engine(cancels, engine, targets, address)
-            )
+            engine.task = spawn(_send_due(cancels, engine, targets, address))
 
 
 def _is_abandoned(engine: _Engine, now: float) -> bool:
     return engine.failures > 0 and now - engine.failing_since > _ABANDON_AFTER_S
 
 
-async def _retry_engine(
+async def _send_due(
     cancels: Cancels, engine: _Engine, targets: Targets, address: str
 ) -> None:
     loop = asyncio.get_running_loop()
--- a/copperloom/controllers/config_fetch.py
+++ b/copperloom/controllers/config_fetch.py
@@ -1,8 +1,8 @@
 """Fetches a newer configuration that a peer has reported.
 
-The platform is read first. If it doesn't reply quickly, a peer is asked, since
-an entry that waited for the platform would keep using a version that operators
-already see as replaced.
+The platform is read first. If it doesn't reply quickly, the changes are
+fetched from a peer, since an entry that waited for the platform would keep
+using a version that operators already see as replaced.
 """
 
 import asyncio
@@ -52,19 +52,21 @@
     that was replaced.
     """
     contact_since = now - state.settings.membership.suspect_s
-    facts = config.evidence(state, now)
-    is_majority = config_staleness.has_majority(facts.contacts, facts.members)
+    evidence = config.evidence(state, now)
+    is_majority = config_staleness.has_majority(
+        evidence.contacts, evidence.members
+    )
     if not state.cfg_loaded and not is_majority:
         return
     members = [m for m in state.members.values() if not m.failures]
     if not state.cfg_loaded:
         members = [m for m in members if m.last_reply_at >= contact_since]
-    best = max(members, key=lambda m: m.version, default=None)
-    if best is None or best.version <= state.cfg.version:
+    newest = max(members, key=lambda m: m.version, default=None)
+    if newest is None or newest.version <= state.cfg.version:
         return
     reply = await client.call(
         state.membership.channels,
-        best.address,
+        newest.address,
         "Fetch",
         peers_pb2.FetchRequest(after_version=state.cfg.version),
         timeout_s=_FETCH_TIMEOUT_S,
@@ -78,7 +80,7 @@
     ]
     cfg = config.apply_all(state, cfg, fetched)
     if config.adopt(state, cfg, now):
-        event("fetched_from_peer", member=best.instance, version=cfg.version)
+        event("fetched_from_peer", member=newest.instance, version=cfg.version)
 
 
 def reply_to(state, request: peers_pb2.FetchRequest) -> peers_pb2.FetchReply:
--- a/copperloom/controllers/leases.py
+++ b/copperloom/controllers/leases.py
@@ -139,6 +139,7 @@
     target: str,
     timeout_s: float,
 ) -> Lease | None:
+    """Writes the row and returns the lease, or None if the row has changed."""
     sent_at = asyncio.get_running_loop().time()
     current = row.value or {"holder": "", "fencing": 0, "renewed": 0}
     is_renewal = current["holder"] == owner
--- a/copperloom/controllers/member.py
+++ b/copperloom/controllers/member.py
@@ -145,9 +145,9 @@
     It has crashed or is partitioned from the fleet. In both cases it admits no
     work after confirm_s, so that no change has to wait for it.
     """
-    last = max(peer.last_reply_at, peer.last_received_at, peer.listed_at)
+    last_seen = max(peer.last_reply_at, peer.last_received_at, peer.listed_at)
     limit_s = state.settings.membership.dead_s + list_interval_s(state)
-    return bool(peer.failures and last < now - limit_s)
+    return bool(peer.failures and last_seen < now - limit_s)
 
 
 def spawn(state, name: str, coroutine) -> None:
--- a/copperloom/controllers/membership.py
+++ b/copperloom/controllers/membership.py
@@ -161,7 +161,7 @@
     data_centre = state.settings.entry.data_centre
     local = [m for m in members if m.data_centre == data_centre]
     remote = [m for m in members if m.data_centre != data_centre]
-    fanout = _take_due(state)
+    fanout = _count_due_exchanges(state)
     numbers = range(
         state.membership.exchanges - fanout, state.membership.exchanges
     )
@@ -176,8 +176,8 @@
     return chosen + local[: max(0, fanout - len(chosen))]
 
 
-def _take_due(state) -> int:
-    """Returns the number of exchanges due in this step and counts them."""
+def _count_due_exchanges(state) -> int:
+    """Returns the number of exchanges due and adds it to the total."""
     settings = state.settings.membership
     membership = state.membership
     rate = exchanges_per_s(settings, len(state.members) + 1)
@@ -193,9 +193,9 @@
     settings = state.settings.membership
     list_is_fresh = member.list_is_fresh(state, now)
     for peer in list(state.members.values()):
-        last = max(peer.last_reply_at, peer.last_received_at)
-        silent_s = now - max(last, peer.listed_at)
-        stopped = peer.leaving and now - last > settings.dead_s
+        last_contact = max(peer.last_reply_at, peer.last_received_at)
+        silent_s = now - max(last_contact, peer.listed_at)
+        stopped = peer.leaving and now - last_contact > settings.dead_s
         if stopped or (list_is_fresh and silent_s > _RETENTION_S):
             del state.members[peer.instance]
             event("member_forgotten", peer=peer.instance)
--- a/copperloom/controllers/row_batch.py
+++ b/copperloom/controllers/row_batch.py
@@ -110,6 +110,7 @@
 
 
 async def _send_batch(batcher: Batcher, puts: list[_Put]) -> None:
+    """Sends one transaction; after a conflict the other rows wait again."""
     if not puts:
         return
     conditions = [Condition(p.key, p.version) for p in puts]
