--- a/copperloom/controllers/leases.py
+++ b/copperloom/controllers/leases.py
@@ -73,7 +73,7 @@
 
 
 def drop(leases: Leases, target: str) -> None:
-    """Stops using a lease, for example after an engine has refused it."""
+    """Removes a lease, for example after an engine has refused it."""
     leases.held.pop(target, None)
 
 
@@ -139,6 +139,7 @@
     target: str,
     timeout_s: float,
 ) -> Lease | None:
+    """Writes the row and returns the lease, or None if the row has changed."""
     sent_at = asyncio.get_running_loop().time()
     current = row.value or {"holder": "", "fencing": 0, "renewed": 0}
     is_renewal = current["holder"] == owner
