--- a/copperloom/decisions/admission.py
+++ b/copperloom/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: immediate refusals with a time to retry after."""
+"""Admission control: immediate refusals with a retry-after time."""
 
 import random
 
@@ -79,7 +79,7 @@
 def expires_at(
     req: messages.Request, preset: configuration.Preset, now: float, *, long
 ) -> float:
-    """Returns when a request is refused if it is still queued.
+    """Returns the monotonic time at which a queued request is refused.
 
     Args:
         req: The request.
@@ -101,12 +101,13 @@
     *,
     long: bool,
 ) -> messages.Refusal | None:
-    """Refuses a request whose predicted queueing time is too long.
+    """Returns a refusal if the predicted queueing time is too long, else None.
 
     Above capacity an unbounded queue makes every answer miss its deadline. An
-    immediate refusal lets the caller go elsewhere, and gives the time by which
-    the backlog should be processed. The bound is in predicted seconds, because
-    the prompts vary too much in length for a bound on the number of requests.
+    immediate refusal lets the caller go elsewhere, and states the time after
+    which the backlog should be processed. The bound is in predicted seconds,
+    because the prompts vary too much in length for a bound on the number of
+    requests.
     """
     predicted_s = wait_s(pool, req, now, long=long)
     if predicted_s <= 0.0:
@@ -125,7 +126,7 @@
 def capacity_refusal(
     req: messages.Request, after_s: float, rng: random.Random
 ) -> messages.Refusal:
-    """Refuses a long request that gets no memory in time."""
+    """Builds the refusal of a long request for lack of capacity."""
     text = "no capacity for long requests within the time limit"
     return refuse(req, "CapacityExceededError", text, after_s, rng)
 
@@ -133,7 +134,7 @@
 def cannot_finish(
     pool: pool_module.Pool, req: messages.Request, now: float, *, long: bool
 ) -> bool:
-    """Returns whether a queued request can no longer finish in time.
+    """Returns whether a queued request can no longer meet its deadline.
 
     Only the prompt is counted: `max_tokens` is an upper bound that few answers
     reach.
@@ -151,7 +152,7 @@
     after_s: float,
     rng: random.Random,
 ) -> messages.Refusal:
-    """Builds a refusal with a jittered time to retry after."""
+    """Builds a refusal with a jittered retry-after time."""
     after_s = min(max(after_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
     after_s *= 1.0 + RETRY_JITTER * rng.random()
     return messages.Refusal(req, error, text, after_s)
--- a/copperloom/decisions/budget.py
+++ b/copperloom/decisions/budget.py
@@ -41,8 +41,8 @@
         retries: Monotonic times of retries, by service.
     """
 
-    def __init__(self, terms: BudgetPolicy):
-        self.policy = terms
+    def __init__(self, policy: BudgetPolicy):
+        self.policy = policy
         self.requests: dict[str, collections.deque[float]] = {}
         self.retries: dict[str, collections.deque[float]] = {}
 
--- a/copperloom/decisions/choice.py
+++ b/copperloom/decisions/choice.py
@@ -14,7 +14,7 @@
     may_lead: frozenset[str] | None = None,
     is_repeat: bool = False,
 ) -> plans.Choice:
-    """Returns the outcome of a placement at present.
+    """Returns the outcome of placing a prompt now.
 
     Args:
         engine: Figures of the service's engines.
--- a/copperloom/decisions/config_staleness.py
+++ b/copperloom/decisions/config_staleness.py
@@ -1,4 +1,4 @@
-"""Whether an instance may admit work under the configuration that it has.
+"""Decides whether an instance may admit work under its configuration.
 
 The rule, and why the two sides of a network partition cannot disagree, are
 described in docs/design/configuration.md.
@@ -64,12 +64,12 @@
 def refusal_reason(
     evidence: Evidence, now: float, *, confirm_s: float
 ) -> str | None:
-    """Decides whether new work may be admitted.
+    """Returns why new work may not be admitted, or None if it may.
 
     An instance that is partitioned from the platform and from its peers would
-    go on under limits, presets or targets that the operators have replaced.
+    keep using limits, presets or targets that the operators have replaced.
     Contact with a majority is enough while the platform is down for all: any
-    two majorities share a member, which passes a new version on.
+    two majorities share a member, which propagates a new version.
 
     Args:
         evidence: What the instance knows.
--- a/copperloom/decisions/decode_rate.py
+++ b/copperloom/decisions/decode_rate.py
@@ -2,7 +2,7 @@
 
 A degraded engine still responds, but every iteration takes a multiple of its
 usual time, so that all its answers miss their inter-token objectives and
-predictions are wrong. A prefill beside an answer lengthens one gap between
+predictions are wrong. A prefill beside a decode lengthens one gap between
 tokens; only a slow engine lengthens all of them.
 """
 
@@ -34,9 +34,9 @@
         )
 
 
-def record_gap(recent: RecentGaps, pause_s: float) -> None:
+def record_gap(recent: RecentGaps, gap_s: float) -> None:
     """Records the time between two events, in seconds."""
-    recent.gaps_s.append(pause_s)
+    recent.gaps_s.append(gap_s)
 
 
 def is_slow(
--- a/copperloom/decisions/deferral.py
+++ b/copperloom/decisions/deferral.py
@@ -3,7 +3,7 @@
 When long prompts arrive while others are in prefill, placing one at once
 either delays the earlier ones (an engine processes the newest part first) or
 leaves it to few engines that prefill it too slowly. A moment later more
-engines may be free, and all of them meet their objectives.
+engines may be free, so that all of the prompts meet their objectives.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 # Share of the prompt's worth that a deferral must gain, since predictions are
 # uncertain.
 MIN_GAIN_SHARE = 0.3
-# Longest time until the next placement: other requests may arrive meanwhile.
+# Upper bound of a deferral, since other requests may arrive meanwhile.
 MAX_DELAY_S = 0.15
 
 
@@ -80,12 +80,12 @@
     """
     if not load.prefills:
         return load
-    time = iterations.simulate(engine, load)
+    timeline = iterations.simulate(engine, load)
     prefills = []
     decodes = list(load.decodes)
     start_s = 0.0
     by_finish = sorted(
-        zip(time.finish_s, load.prefills, strict=True), key=_finish_s
+        zip(timeline.finish_s, load.prefills, strict=True), key=_finish_s
     )
     for finish_s, prefill in by_finish:
         if finish_s > delay_s:
@@ -98,8 +98,8 @@
     )
 
 
-def _finish_s(item) -> float:
-    return item[0]
+def _finish_s(finish_and_prefill) -> float:
+    return finish_and_prefill[0]
 
 
 def _remaining(
--- a/copperloom/decisions/fetch_policy.py
+++ b/copperloom/decisions/fetch_policy.py
@@ -1,4 +1,4 @@
-"""Which peer an instance fetches a new version from, and when.
+"""Decides from which peer, and when, an instance fetches a new version.
 
 After a change of the configuration, many instances learn of it at once from
 the same peer. If all of them fetched from that one, its uplink would be
@@ -81,20 +81,20 @@
         )
 
 
-def try_send(uplink: Uplink, size_s: float, now: float) -> bool:
+def try_send(uplink: Uplink, transfer_s: float, now: float) -> bool:
     """Reserves uplink time for a document unless the queue is too long.
 
     Args:
         uplink: The uplink.
-        size_s: Transfer time of the document, in seconds.
+        transfer_s: Transfer time of the document, in seconds.
         now: Monotonic time.
 
     Returns:
         Whether to send it now; if not, the requester should try another peer.
     """
-    if size_s > SMALL_TRANSFER_S and uplink.free_at - now > MAX_QUEUED_S:
+    if transfer_s > SMALL_TRANSFER_S and uplink.free_at - now > MAX_QUEUED_S:
         return False
-    uplink.free_at = max(uplink.free_at, now) + size_s
+    uplink.free_at = max(uplink.free_at, now) + transfer_s
     return True
 
 
--- a/copperloom/decisions/health.py
+++ b/copperloom/decisions/health.py
@@ -3,7 +3,7 @@
 A target that fails quickly or hangs while it reports itself healthy has little
 work in progress, so it looks like the best choice and attracts requests that
 fail. Each failure adds a penalty to its cost, which decays exponentially. A
-target is never excluded for good, because a fault may hit many targets at
+target is never excluded permanently, because a fault may hit many targets at
 once, and because only new requests show that a target has recovered.
 """
 
@@ -37,7 +37,7 @@
 # below it at once.
 MIN_SHARED_PENALTY = 1.0
 # Minimum penalty that is reported to owners. It is lower, since owners add up
-# the reports: a fault that each peer met once shows only in the sum.
+# the reports: a fault that each peer saw once is visible only in the sum.
 MIN_REPORTED_PENALTY = 0.2
 # A peer's observations count for less than own ones: the fault may lie in the
 # peer's network, or affect only its data centre.
--- a/copperloom/decisions/inflight_table.py
+++ b/copperloom/decisions/inflight_table.py
@@ -1,7 +1,7 @@
 """The work in progress of all instances at each target.
 
-An instance that placed by its own requests alone would find the same targets
-idle as its peers do, and all would overload them together. So instances send
+An instance that considered only its own requests would find the same targets
+idle as its peers do, and together they would overload them. So instances send
 each other reports of their work, and placement uses the sum. Reports of a
 silent peer expire: a dead instance's work ends with its connections, and
 counting it forever would leave its targets unused.
@@ -121,7 +121,7 @@
 def begin(
     table: InflightTable, request: str, work: Iterable[inflight.Work]
 ) -> None:
-    """Records work that is about to be sent; replaces the request's earlier."""
+    """Records a request's work before it is sent; replaces any earlier work."""
     _drop(table, ("", request), table.own.get(request, ()))
     table.own[request] = tuple(work)
     _add(table, ("", request), table.own[request])
@@ -257,12 +257,12 @@
     Returns:
         The load by target name.
     """
-    found = {}
+    totals = {}
     for name in table.by_target if targets is None else targets:
         works = _active_work(table, name, now)
         if works:
-            found[name] = inflight.total(works, now)
-    return found
+            totals[name] = inflight.total(works, now)
+    return totals
 
 
 def _active_work(
--- a/copperloom/decisions/interference.py
+++ b/copperloom/decisions/interference.py
@@ -1,4 +1,4 @@
-"""The worth that a placement costs other requests and the request itself.
+"""Predicts the worth that a placement costs others and the request itself.
 
 Times are predicted by `copperloom.decisions.iterations`. Whether a time misses
 its objective is a probability, since more work may arrive in between.
@@ -17,10 +17,10 @@
     "prefill_interference",
 ]
 
-# Error of the predicted times: a smooth loss makes the quicker of two
-# placements near the limit the cheaper one.
+# Assumed error of predicted times. It makes the loss a smooth function, so that
+# of two placements near the limit the faster one costs less.
 PREDICTION_ERROR_S = 0.035
-# The error grows with the time predicted; share of the limit.
+# Lower bound of the error as a share of the limit: long predictions vary more.
 PREDICTION_ERROR_SHARE = 0.06
 # Lower bound of an objective when waiting is related to it.
 _MIN_OBJECTIVE_S = 0.05
@@ -44,10 +44,11 @@
 # Typical generation time of a short answer; short requests in progress are
 # replaced by as many new ones in it.
 SHORT_ANSWER_S = 1.5
-# Callers abandon a stream without a token after a multiple of its objective.
+# Multiple of the first-token objective after which callers are assumed to
+# abandon a stream without a token.
 ABANDON_MARGIN_OBJECTIVES = 3.5
-# Safety factor for the silence after which callers leave: for them, all work
-# is lost.
+# Safety factor for the gap after which callers abandon a stream, since all work
+# for it is then wasted.
 ABANDON_MARGIN = 0.75
 
 
@@ -65,25 +66,29 @@
     lost: float
 
 
-def decode_loss(tgt: plans.Candidate, time: iterations.Timeline) -> DecodeLoss:
-    """Returns the input of `prefill_interference` that is common to all parts.
+def decode_loss(
+    tgt: plans.Candidate, timeline: iterations.Timeline
+) -> DecodeLoss:
+    """Returns the loss of a target's decodes before a part is added.
+
+    It is the same for all numbers of parts, so it is computed only once.
 
     Args:
         tgt: The target.
-        time: Its predicted iterations.
+        timeline: Its predicted iterations.
     """
     objectives: dict[float, float] = {}
     for decode in tgt.load.decodes:
         objective = decode.pause_aim_s
         objectives[objective] = objectives.get(objective, 0.0) + decode.worth
-    before = time.decode_only_s + time.queued_prefill_s
-    lost = sum(w * _gap_loss(o, before) for o, w in objectives.items())
+    gap_s = timeline.decode_only_s + timeline.queued_prefill_s
+    lost = sum(w * _gap_loss(o, gap_s) for o, w in objectives.items())
     return DecodeLoss(tuple(objectives.items()), lost)
 
 
 def prefill_interference(
     tgt: plans.Candidate,
-    time: iterations.Timeline,
+    timeline: iterations.Timeline,
     current: DecodeLoss,
     part_s: float,
     is_split: bool,
@@ -92,27 +97,27 @@
 
     Args:
         tgt: The target.
-        time: Its predicted iterations.
+        timeline: Its predicted iterations.
         current: The loss of its decodes without the part.
         part_s: Prefill time of the part, in seconds.
         is_split: Whether it is one of several parts of a prompt.
     """
-    before = time.decode_only_s + time.queued_prefill_s
+    gap_s = timeline.decode_only_s + timeline.queued_prefill_s
     lost = -current.lost
     for objective, worth in current.decodes:
-        lost += worth * _gap_loss(objective, before + part_s)
+        lost += worth * _gap_loss(objective, gap_s + part_s)
     # An engine that decodes adds a part to its next iteration; one that only
     # prefills processes parts before all else, and whole prompts last.
     delays = bool(tgt.load.decodes) or is_split
     for prefill, finish, queued in zip(
-        tgt.load.prefills, time.finish_s, time.queued, strict=True
+        tgt.load.prefills, timeline.finish_s, timeline.queued, strict=True
     ):
         if delays and queued:
-            limit = prefill.due_s - time.decode_only_s
-            more = _late_probability(
+            limit = prefill.due_s - timeline.decode_only_s
+            added = _late_probability(
                 finish + part_s, limit
             ) - _late_probability(finish, limit)
-            lost += prefill.worth * more * LATE_LOSS + part_s * WAIT_COST
+            lost += prefill.worth * added * LATE_LOSS + part_s * WAIT_COST
         # A prompt in the current iteration, or nearly finished, decodes in the
         # next one, so the part lengthens its first gap between tokens.
         running = bool(tgt.load.decodes) and not queued
@@ -120,8 +125,8 @@
             running or finish < SOON_DECODES_S
         ):
             objective = prefill.pause_aim_s
-            lost += prefill.worth * _gap_loss(objective, before + part_s)
-    return lost + WAIT_COST * time.prefill_left_s
+            lost += prefill.worth * _gap_loss(objective, gap_s + part_s)
+    return lost + WAIT_COST * timeline.prefill_left_s
 
 
 def _gap_loss(objective_s: float, gap_s: float) -> float:
@@ -138,24 +143,24 @@
     )
 
 
-def waiting_loss(prompt: plans.Prompt, first_s: float) -> float:
+def waiting_loss(prompt: plans.Prompt, first_token_s: float) -> float:
     """Predicts the worth that a request itself loses by waiting.
 
     Args:
         prompt: Its prompt.
-        first_s: Predicted time to the first token, in seconds.
+        first_token_s: Predicted time to the first token, in seconds.
     """
     objective = prompt.first_token_aim_s
-    loss = LATE_LOSS * _late_probability(first_s, objective)
+    loss = LATE_LOSS * _late_probability(first_token_s, objective)
     loss += (1 - LATE_LOSS) * _late_probability(
-        first_s, objective * ABANDON_MARGIN_OBJECTIVES
+        first_token_s, objective * ABANDON_MARGIN_OBJECTIVES
     )
-    waiting = WAIT_COST * first_s / max(objective, _MIN_OBJECTIVE_S)
+    waiting = WAIT_COST * first_token_s / max(objective, _MIN_OBJECTIVE_S)
     return plans.worth(prompt.tokens) * loss + waiting
 
 
 def arrival_interference(
-    engine, candidates, chosen, times, part_s: float
+    engine, candidates, chosen, timelines, part_s: float
 ) -> float:
     """Predicts the worth that requests lose which arrive during a prefill.
 
@@ -168,29 +173,33 @@
         engine: Figures of the service's engines.
         candidates: The engines that may be used.
         chosen: Those that prefill a part.
-        times: Their predicted iterations by name.
+        timelines: Their predicted iterations by name.
         part_s: Prefill time of each part, in seconds.
     """
     closed_s = part_s - SHORT_PART_S
     if closed_s <= 0:
         return 0.0
-    names = {c.name for c in chosen}
+    chosen_names = {c.name for c in chosen}
     open_now = {
         c.name
         for c in candidates
-        if times[c.name].prefill_left_s < SHORT_PART_S
+        if timelines[c.name].prefill_left_s < SHORT_PART_S
     }
-    short = sum(
-        w.worth < SHORT_WORTH for c in candidates for w in c.load.decodes
+    short_requests = sum(
+        d.worth < SHORT_WORTH for c in candidates for d in c.load.decodes
+    )
+    before = _displaced_requests(engine, len(open_now), short_requests)
+    after = _displaced_requests(
+        engine, len(open_now - chosen_names), short_requests
     )
-    before = _displaced_requests(engine, len(open_now), short)
-    after = _displaced_requests(engine, len(open_now - names), short)
     return LATE_LOSS * (after - before) * closed_s / SHORT_ANSWER_S
 
 
-def _displaced_requests(engine, open_engines: int, short: int) -> float:
+def _displaced_requests(
+    engine, open_engines: int, short_requests: int
+) -> float:
     """Returns how many short requests find no slot at an open engine."""
-    return max(0.0, short - open_engines * engine.slots * USABLE_SLOTS)
+    return max(0.0, short_requests - open_engines * engine.slots * USABLE_SLOTS)
 
 
 def _late_probability(time_s: float, limit_s: float) -> float:
--- a/copperloom/decisions/iterations.py
+++ b/copperloom/decisions/iterations.py
@@ -26,8 +26,8 @@
     Attributes:
         decode_only_s: Length of an iteration without any prefill, in seconds.
         iteration_left_s: Time until the current iteration ends, in seconds.
-        queued_prefill_s: Prefill time of what has arrived since and joins the
-            next iteration, in seconds.
+        queued_prefill_s: Sum of the prefill times of prompts and parts that
+            join the next iteration, in seconds.
         finish_s: Time from now until each prefill ends, in seconds, in the
             order of the engine's prefills.
         queued: Whether each of them waits for the next iteration.
@@ -161,9 +161,9 @@
         # Parts from the newest on, then whole prompts from the oldest on.
         order = [i for i in range(index, -1, -1) if prefills[i].is_split]
         order += [i for i in range(index + 1) if not prefills[i].is_split]
-        for at in order:
-            used = min(budget, left[at])
-            left[at] -= used
+        for position in order:
+            used = min(budget, left[position])
+            left[position] -= used
             budget -= used
     return [
         max(value, prefill.prefill_s * _MIN_REMAINING_SHARE)
--- a/copperloom/decisions/limits.py
+++ b/copperloom/decisions/limits.py
@@ -52,8 +52,8 @@
     """Returns how long the organisation must wait; 0 if it may send.
 
     A bucket may be overdrawn by one request, since a long prompt may exceed
-    the bucket's capacity and would otherwise never pass. The debt delays the
-    next request.
+    the bucket's capacity and would otherwise be refused forever. The debt
+    delays the next request.
     """
     if org.limit_tokens_per_s <= 0.0:
         return 0.0
--- a/copperloom/decisions/load.py
+++ b/copperloom/decisions/load.py
@@ -56,7 +56,7 @@
         report: The last report.
         reported_at: Monotonic time that the report describes.
         held_at_report: `held_tokens` when the report arrived.
-        limit: Most own requests in flight at once.
+        limit: Maximum number of own requests in flight.
         limit_cut_at: Monotonic time at which the limit was last cut.
         ratio: Mean of first-token time over the pool's baseline.
         ratio_at: Monotonic time at which `ratio` last changed.
--- a/copperloom/decisions/placement.py
+++ b/copperloom/decisions/placement.py
@@ -59,7 +59,7 @@
 
     The cost of a target is its predicted wait. The home of a prefix is
     preferred as long as the prefill that its cache saves exceeds the additional
-    wait, which bounds the load of a hot prefix. An engine with long work gives
+    wait, which bounds the load of a hot prefix. An engine with long work sends
     the first token soon, because short requests have priority there, but
     decodes slowly; the objective sets the weight of that.
 
@@ -192,7 +192,7 @@
     """Estimates the KV tokens that a long request could take at a target.
 
     All memory in use is charged to the share of long work, since reports do not
-    tell the classes apart. Otherwise an instance would keep asking for memory
+    distinguish the classes. Otherwise an instance would keep requesting memory
     that the long requests of other instances hold.
     """
     return pool_module.capacity(tgt, preset) - load.kv_in_use(tgt)
--- a/copperloom/decisions/planner.py
+++ b/copperloom/decisions/planner.py
@@ -1,7 +1,7 @@
 """Chooses the engines for a prompt by what it gains and what others lose.
 
-A long prompt occupies an engine for seconds, in which every answer decoded
-there stands still. The prefill time is about the same in sum however it is
+A long prompt occupies an engine for seconds, during which no answer decoded
+there makes progress. The total prefill time hardly depends on how it is
 divided, so a long prompt is split among several engines: its own wait shrinks,
 and each decode beside it waits for one part only. The number of parts is
 chosen per request, by weighing the worth that it loses by missing its
@@ -35,7 +35,7 @@
 # Targets whose work is summed for one request: the least loaded ones of a large
 # sample are nearly the least loaded of all.
 MAX_DRAWN = 120
-# Cost of each further part: an exchange between engines, and one more engine
+# Cost of each further part: communication between engines, and one more engine
 # whose failure breaks the request.
 PART_COST = 0.02
 # A prompt is refused if its placement costs more than this multiple of its
@@ -96,9 +96,12 @@
     if not leads:
         return None
     total_s = iterations.prefill_s(engine, prompt.tokens)
-    times = {c.name: iterations.simulate(engine, c.load) for c in candidates}
+    timelines = {
+        c.name: iterations.simulate(engine, c.load) for c in candidates
+    }
     decode_losses = {
-        c.name: interference.decode_loss(c, times[c.name]) for c in candidates
+        c.name: interference.decode_loss(c, timelines[c.name])
+        for c in candidates
     }
     best: plans.Plan | None = None
     for parts in _part_counts(total_s, len(candidates)):
@@ -107,7 +110,7 @@
             prompt,
             leads,
             candidates,
-            times,
+            timelines,
             decode_losses,
             total_s / parts,
             parts,
@@ -260,12 +263,12 @@
 
 
 def _plan_parts(
-    engine, prompt, leads, candidates, times, decode_losses, part_s, parts
+    engine, prompt, leads, candidates, timelines, decode_losses, part_s, parts
 ) -> plans.Plan | None:
     is_split = parts > 1
     costs = {
         c.name: interference.prefill_interference(
-            c, times[c.name], decode_losses[c.name], part_s, is_split
+            c, timelines[c.name], decode_losses[c.name], part_s, is_split
         )
         + c.penalty * PENALTY_COST
         for c in candidates
@@ -282,25 +285,27 @@
     if len(helpers) < parts - 1:
         return None
     chosen = [lead, *helpers]
-    first_s = _first_token_s(engine, prompt, lead, chosen, times, part_s)
+    first_token_s = _first_token_s(
+        engine, prompt, lead, chosen, timelines, part_s
+    )
     cost = sum(costs[c.name] for c in chosen)
     at_risk = PENALTY_COST * plans.worth(prompt.tokens) * RISK_SHARE
     cost += at_risk * sum(c.penalty for c in chosen)
     cost += _lead_cost(engine, lead)
-    cost += interference.waiting_loss(prompt, first_s)
+    cost += interference.waiting_loss(prompt, first_token_s)
     cost += interference.arrival_interference(
-        engine, candidates, chosen, times, part_s
+        engine, candidates, chosen, timelines, part_s
     )
     cost += PART_COST * (parts - 1)
     names = tuple(c.name for c in helpers)
-    return plans.Plan(lead.name, names, part_s, first_s, cost)
+    return plans.Plan(lead.name, names, part_s, first_token_s, cost)
 
 
-def _first_token_s(engine, prompt, lead, chosen, times, part_s) -> float:
+def _first_token_s(engine, prompt, lead, chosen, timelines, part_s) -> float:
     """Predicts the time to the first token since the request arrived."""
     is_split = len(chosen) > 1
     prefill_end_s = max(
-        _prefill_end_s(c, times[c.name], part_s, is_split) for c in chosen
+        _prefill_end_s(c, timelines[c.name], part_s, is_split) for c in chosen
     )
     first_iteration_s = iterations.iteration_s(
         engine,
@@ -312,14 +317,14 @@
 
 def _prefill_end_s(
     tgt: plans.Candidate,
-    time: iterations.Timeline,
+    timeline: iterations.Timeline,
     part_s: float,
     is_split: bool,
 ) -> float:
     """Predicts the time until a target has prefilled a part sent now."""
     if tgt.load.decodes:
-        return time.iteration_left_s + time.queued_prefill_s + part_s
-    return part_s if is_split else time.prefill_left_s + part_s
+        return timeline.iteration_left_s + timeline.queued_prefill_s + part_s
+    return part_s if is_split else timeline.prefill_left_s + part_s
 
 
 def _lead_cost(engine: routing.EngineSpec, tgt: plans.Candidate) -> float:
--- a/copperloom/decisions/plans.py
+++ b/copperloom/decisions/plans.py
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deferral:
-    """A prompt is held back because engines are about to become free.
+    """The deferral of a prompt until engines become free.
 
     Attributes:
         delay_s: Time until it is placed again, in seconds.
@@ -115,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A prompt is refused because it would cost others more than its worth.
+    """The refusal of a prompt that would cost others more than it is worth.
 
     Attributes:
         plan: The best plan at present.
--- a/copperloom/decisions/pool.py
+++ b/copperloom/decisions/pool.py
@@ -58,10 +58,10 @@
         long_targets: Targets that take long work.
         short_targets: Targets kept free of long work; all if the pool is not
             split.
-        long_names: Names in `long_targets`, and the next target in order.
-        max_long_targets: Most targets that may take long work.
-        ring: Homes of prefixes among all targets.
-        short_ring: Homes of prefixes among `short_targets`.
+        long_names: Names of `long_targets`, and of the next one in rank order.
+        max_long_targets: Maximum number of targets that take long work.
+        ring: Consistent-hash ring of all targets.
+        short_ring: Consistent-hash ring of `short_targets`.
         split: Split between long-prompt and short-prompt targets.
         short: Queue of short requests.
         long: Queue of long requests.
@@ -70,8 +70,8 @@
         short_residence: Residence times of short requests.
         long_residence: Residence times of long requests.
         max_kv_tokens: KV memory of the largest engine, in tokens.
-        group_tokens: Most KV tokens that a group of engines can provide.
-        engine_tokens: Most KV tokens that one engine provides to long work.
+        group_tokens: Maximum KV tokens that a group of engines can provide.
+        engine_tokens: Maximum KV tokens that one engine provides to long work.
     """
 
     def __init__(self, kind: configuration.TargetKind, *, fair: bool = True):
@@ -121,7 +121,7 @@
         pool: The pool.
         preset: The preset in force.
         split: Whether long work is confined to some of the targets.
-        max_group_size: Most engines in a group.
+        max_group_size: Maximum number of engines in a group.
     """
     count = len(pool.targets)
     max_long = (
--- a/copperloom/decisions/pool_split.py
+++ b/copperloom/decisions/pool_split.py
@@ -60,7 +60,7 @@
 
 
 def max_long_targets(targets: int, short_floor: float) -> int:
-    """Returns the most targets that may take long work.
+    """Returns the maximum number of targets that take long work.
 
     The number of targets kept for short work is rounded up, but one target
     always takes long work, since a pool of one engine could not serve long
@@ -103,7 +103,7 @@
     Args:
         split: The split.
         targets: Number of targets in the pool.
-        max_size: Most targets that may take long work.
+        max_size: Maximum number of targets that take long work.
         utilisation: Share of the long targets' memory in use; 1 if long
             requests are queued for too long.
         now: Monotonic seconds.
--- a/copperloom/decisions/queueing.py
+++ b/copperloom/decisions/queueing.py
@@ -42,7 +42,7 @@
     long: bool,
     again: bool = False,
 ) -> None:
-    """Queues a request; `again` if it has been dispatched before."""
+    """Queues a request; `again` states whether it was dispatched before."""
     preset = sched.cfg.preset
     expires_at = req.deadline - admission.DEADLINE_MARGIN_S
     if sched.uses("admission"):
@@ -70,7 +70,7 @@
     now: float,
     decisions: Decisions,
 ) -> None:
-    """Refuses requests that have expired or lost all targets."""
+    """Refuses expired requests, and all requests of a pool without targets."""
     for queue, long in ((pool.short, False), (pool.long, True)):
         while queue and (queue.expiry[0][0] <= now or not pool.targets):
             item = fairqueue.remove(queue, queue.expiry[0][1])
--- a/copperloom/decisions/registry.py
+++ b/copperloom/decisions/registry.py
@@ -148,9 +148,9 @@
 
 def usable_by_shard(reg: Registry, service: str, now: float) -> shards.Division:
     """Returns the targets of a service that may get new work, by shard."""
-    found = reg.divisions.get(service)
-    if found is None:
-        found = shards.divide(
+    division = reg.divisions.get(service)
+    if division is None:
+        division = shards.divide(
             [
                 e
                 for e in reg.entries.values()
@@ -158,9 +158,9 @@
             ],
             low_latency=service in reg.low_latency,
         )
-        reg.divisions[service] = found
-    if found.targets:
-        return found
+        reg.divisions[service] = division
+    if division.targets:
+        return division
     return shards.divide(
         [
             entry
--- a/copperloom/decisions/reservation.py
+++ b/copperloom/decisions/reservation.py
@@ -1,6 +1,6 @@
 """Reservations of engines' KV memory for long work, kept by an owner.
 
-Instances that place long work on the same engine by lagging reports would
+Instances that place long work on the same engine by delayed reports would
 overcommit its memory. So a single instance, the engine's owner, keeps a `Book`
 of all reservations, and two grants never count the same memory. Which instance
 owns an engine is decided elsewhere.
@@ -24,7 +24,8 @@
     "update_streams",
 ]
 
-# Retry interval if memory is short: about the time that a short prompt takes.
+# Retry interval if there is not enough free memory: about the duration of a
+# short request.
 RETRY_S = 0.5
 
 
@@ -79,7 +80,7 @@
     ttl_s: float,
     now: float,
 ) -> None:
-    """Starts to own a target, or adopts a change of its limits.
+    """Takes ownership of a target, or updates the limits of an owned one.
 
     A previous owner that is frozen or partitioned may still grant memory. So a
     new owner grants nothing until the longest lifetime of a reservation has
@@ -105,7 +106,7 @@
 
 
 def close_target(book: Book, target: str) -> None:
-    """Stops owning a target and drops its reservations."""
+    """Ends the ownership of a target and drops its reservations."""
     book.ledgers.pop(target, None)
 
 
--- a/copperloom/decisions/rowlog.py
+++ b/copperloom/decisions/rowlog.py
@@ -1,6 +1,6 @@
 """The current rows of a table, and which changed since a version.
 
-Instances pass a frequently changing table on to each other. Sending only the
+Instances forward a frequently changing table to each other. Sending only the
 changed rows instead of the whole table keeps the uplinks of the first sources
 free.
 """
@@ -21,7 +21,7 @@
 
     Attributes:
         key: Its key.
-        version: The table's version that wrote or removed it.
+        version: Version of the table in which it was last changed or removed.
         value: Its content; None if it was removed.
     """
 
--- a/copperloom/decisions/scheduler.py
+++ b/copperloom/decisions/scheduler.py
@@ -43,7 +43,7 @@
 
 # Backoff after an owner refuses memory; it doubles with each refusal in a row.
 # Long requests hold memory for long, and every instance that has one queued
-# would otherwise keep asking.
+# would otherwise keep sending requests for it.
 MEMORY_BACKOFF_S = 0.5
 MAX_MEMORY_BACKOFF_S = 4.0
 # Queues are checked at this interval even without local events, since limits
@@ -165,7 +165,7 @@
     *,
     avoid: str = "",
 ) -> messages.Refusal | None:
-    """Queues a placement again that was not run.
+    """Queues a request again after its placement failed.
 
     A long request whose memory was refused by the owner is not charged to the
     retry budget, since it was not sent to a target. Every other retry is
@@ -173,7 +173,7 @@
 
     Args:
         sched: The scheduler.
-        placement: The placement; it is no longer in flight.
+        placement: The failed placement; it is removed from those in flight.
         now: Monotonic seconds.
         avoid: Target to avoid in the next placement.
 
--- a/copperloom/decisions/shards.py
+++ b/copperloom/decisions/shards.py
@@ -93,7 +93,7 @@
 
 
 def has_low_latency(engine: routing.EngineSpec | None) -> bool:
-    """Returns whether the stated delay between a service's engines is low."""
+    """Returns whether the configured delay between engines is low."""
     return engine is not None and engine.most_delay_s <= LOW_LATENCY_S
 
 
--- a/copperloom/decisions/target_drain.py
+++ b/copperloom/decisions/target_drain.py
@@ -1,4 +1,4 @@
-"""Which targets are draining, from reports that lag and contradict.
+"""Determines the draining targets from delayed and conflicting reports.
 
 A target may be reported as draining by the operators' configuration, by the
 platform's list, by its own load report or by a peer. The first report counts
@@ -33,7 +33,7 @@
 
 
 class DrainState:
-    """What one instance knows of draining targets.
+    """The reports of draining targets that one instance knows of.
 
     Attributes:
         marks: Configuration version under which a target was reported as
--- a/copperloom/decisions/tests/test_cold.py
+++ b/copperloom/decisions/tests/test_cold.py
@@ -69,8 +69,7 @@
     def test_large_max_tokens_does_not_cause_a_refusal(self):
         """Clients set high limits that few answers reach.
 
-        As an estimate of the answer's length, they would cause refusals even
-        at an idle fleet.
+        Taken as the answer's length, they would cause needless refusals.
         """
         self.assert_placed(request(10, 60_000))
 
--- a/copperloom/decisions/tests/test_load.py
+++ b/copperloom/decisions/tests/test_load.py
@@ -19,10 +19,9 @@
         ablation.SECONDS = 60.0
 
     def test_long_requests_hardly_delay_short_ones(self):
-        """Mixed load of long and short prompts from several instances.
+        """Short requests must not queue behind long prefills on shared engines.
 
-        Guards against short requests that queue behind long prefills on shared
-        engines, and against lost or unanswered requests.
+        No request may be lost or remain unanswered.
         """
         scenario = ablation.SCENARIOS["mix"]
         _, result = outcomes_of(scenario)
@@ -35,10 +34,9 @@
             self.assertLess(baseline.answered, result.answered)
 
     def test_pools_keep_answers_within_time_limit(self):
-        """The same load with and without separate engines for long prompts.
+        """Short answers beside long prefills would exceed their time limit.
 
-        Guards against short answers that exceed their time limit because each
-        iteration of their engine includes a share of a long prefill.
+        Each iteration of their engine would include a share of a prefill.
         """
         ablation.SECONDS = 120.0
         scenario = ablation.SCENARIOS["mix"]
@@ -60,10 +58,9 @@
         self.assertLess(nine.first_p99, 1.5 * one.first_p99)
 
     def test_reservations_prevent_overbooking_by_nine_instances(self):
-        """Nine instances place long requests from stale reports above capacity.
+        """Placement by stale reports must not overbook engines above capacity.
 
-        Guards against overbooked engines, and against groups that hold partial
-        memory while they wait for each other until their time limits.
+        Groups must not wait for each other while they hold partial memory.
         """
         ablation.SECONDS = 120.0
         scenario = ablation.SCENARIOS["nine110"]
@@ -73,10 +70,9 @@
         self.assertGreater(result.long_answered, baseline.long_answered)
 
     def test_overload_is_refused_at_once_and_keeps_goodput(self):
-        """More short requests than the engines can answer in time.
+        """More short requests arrive than the engines can answer in time.
 
-        Guards against requests that are neither answered in time nor refused at
-        once.
+        Each must be answered in time or refused at once.
         """
         scenario = ablation.SCENARIOS["saturated"]
         outcomes, result = outcomes_of(scenario)
@@ -93,10 +89,9 @@
         self.assertGreater(len(at_once), 0.95 * len(refused))
 
     def test_all_engines_take_short_requests_without_long_ones(self):
-        """Only short requests, more than the short targets can serve.
+        """More short requests arrive than the short targets can serve.
 
-        Guards against refusals while engines reserved for long prompts are
-        idle.
+        None may be refused while engines for long prompts are idle.
         """
         scenario = ablation.SCENARIOS["short130"]
         _, result = outcomes_of(scenario)
@@ -107,8 +102,7 @@
     def test_large_organisation_does_not_starve_small_ones(self):
         """One organisation sends half of a load far above capacity.
 
-        Guards against refusals of small organisations because of another one's
-        load.
+        The others must not be refused because of it.
         """
         scenario = ablation.SCENARIOS["skew"]
         outcomes, _ = outcomes_of(scenario)
@@ -120,10 +114,9 @@
         )
 
     def test_affinity_increases_prefix_cache_hits(self):
-        """The prompts of each organisation share a few prefixes.
+        """Prompts with a common prefix must not be scattered over the engines.
 
-        Guards against placements that scatter a prefix over engines, whose
-        caches hold only a few.
+        An engine's cache holds only a few prefixes.
         """
         cluster, outcomes = ablation.play(ablation.SCENARIOS["mix"], SEED)
         disabled = frozenset(["affinity"])
@@ -158,10 +151,9 @@
         self.assertGreater(baseline.late, 4 * max(1, result.late))
 
     def test_unreachable_targets_are_avoided(self):
-        """Two engines refuse connections and send no reports.
+        """Failing engines must not be preferred for having nothing in flight.
 
-        Guards against preferring them because they have nothing in flight, and
-        against errors for requests that other engines can answer.
+        Requests that other engines can answer must not fail.
         """
         cluster, outcomes = ablation.play(ablation.SCENARIOS["down"], SEED)
         disabled = frozenset(["ejection"])
@@ -208,10 +200,9 @@
             self.assertLess(result.late, 0.03 * result.offered)
 
     def test_burst_is_decided_and_leaves_no_load(self):
-        """A burst of requests followed by silence.
+        """Each request must be decided although no other event follows.
 
-        Guards against requests that are never decided, and against load
-        counters that do not return to zero.
+        Afterwards all load counters must return to zero.
         """
         cluster = world.World(count=4, preset=configuration.Preset("p"))
         reqs = callers.requests(SEED, 200.0, 1.0, long_share=0.05)
@@ -224,10 +215,9 @@
             self.assertEqual((tgt.streams, tgt.held_tokens), (0, 0))
 
     def test_objective_trades_first_token_against_slowdown(self):
-        """The same load above capacity with each objective.
+        """Each objective must have an effect above capacity.
 
-        Guards against an objective without effect: "first_token" must give the
-        earlier first token, "slowdown" the smaller slowdown.
+        "first_token" gives earlier first tokens, "slowdown" less slowdown.
         """
         ablation.SECONDS = 120.0
         slowdowns = {}
--- a/copperloom/decisions/tests/test_peak.py
+++ b/copperloom/decisions/tests/test_peak.py
@@ -69,8 +69,7 @@
     def test_quick_reports_of_placements_avoid_full_engines(self):
         """Instances without recent reports choose the same engine.
 
-        Decodes are packed, so a request may reach a full engine, where it waits
-        for a slot.
+        Requests beyond its slots would have to wait there.
         """
         rates = {SHORT: 40.0, MIDDLE: 0.8, LONG: 0.1}
         late = [0, 0]
--- a/copperloom/decisions/tests/test_planner.py
+++ b/copperloom/decisions/tests/test_planner.py
@@ -193,7 +193,7 @@
             )
 
     def test_new_part_waits_for_the_next_iteration(self):
-        """Counted in the current iteration, it would end too early."""
+        """A queued part must not be predicted to end too early."""
         running = inflight.Prefill(0.3, 1.0, 2.0, 5.0, True, None)
         queued = inflight.Prefill(0.1, 0.2, 2.0, 5.0, True, None)
         load = dataclasses.replace(_decoding(2), prefills=(running, queued))
--- a/copperloom/decisions/tests/test_reservation.py
+++ b/copperloom/decisions/tests/test_reservation.py
@@ -71,8 +71,7 @@
     def test_new_owner_waits_for_the_previous_owners_grants(self):
         """A frozen previous owner's grants must not be overbooked.
 
-        The new owner grants nothing until they have expired and it has
-        received the engine's list of streams.
+        The new owner waits until they expire and for the list of streams.
         """
         book = reservation.Book()
         reservation.open_target(book, "t", KV_TOKENS, 0.9, TTL_S, 100.0)
--- a/copperloom/decisions/tests/test_shards.py
+++ b/copperloom/decisions/tests/test_shards.py
@@ -216,7 +216,7 @@
         self.assertEqual(len(order), 21)
 
     def test_shared_budget_counts_all_members_of_a_large_fleet(self):
-        """Most members of a large fleet send no messages here but spend too."""
+        """Members share the budget even if they send no messages here."""
         late = members.MEMBER_TIMEOUT_S + 1.0
         self.assertEqual(members.count_sharing(self.members, late), 21)
         known = {name: self.members[name] for name in ("m0", "m1")}
--- a/copperloom/decisions/tests/test_spillover.py
+++ b/copperloom/decisions/tests/test_spillover.py
@@ -105,10 +105,9 @@
 
 class CrowdedDataCentreTest(unittest.TestCase):
     def test_short_prompts_gain_from_idle_data_centres(self):
-        """Requests would wait for slots while other data centres are idle.
+        """Requests must not wait for slots while other data centres are idle.
 
-        Spill-over must recover at least half of what one pool of all engines
-        gains over separate data centres.
+        Spill-over must yield at least half the gain of one pool of all engines.
         """
         sheet = sheets.SHEETS["wroclaw-large"]
         local_only = spilling = pooled = 0.0
--- a/copperloom/decisions/tests/test_target_drain.py
+++ b/copperloom/decisions/tests/test_target_drain.py
@@ -47,10 +47,9 @@
         self.assertEqual(self.observe(_NONE, _cfg(2, admitted=2), 1.0), _T)
 
     def test_stale_report_right_after_an_admission_is_not_kept(self):
-        """A lagging list must not drain an admitted target for good.
+        """A lagging list must not drain an admitted target permanently.
 
-        The target gets no work while the list names it, and returns without
-        another admission once the list is up to date.
+        The target returns without another admission once the list is current.
         """
         self.observe(_T, _cfg(1), 0.0)
         admitted = _cfg(2, admitted=2)
--- a/copperloom/decisions/timeouts.py
+++ b/copperloom/decisions/timeouts.py
@@ -1,6 +1,6 @@
-"""Timeouts of silent streams: until a repeat, and until the caller leaves.
+"""Timeouts of silent streams: before a repeat, and until callers disconnect.
 
-The time after which callers leave is specified by the platform.
+The time after which callers abandon a stream is specified by the platform.
 """
 
 __all__ = ["first_event_timeout_s", "abandon_after_s"]
@@ -41,7 +41,7 @@
 
 
 def abandon_after_s(objective_s: float, pause_aim_s: float) -> float:
-    """Returns the silence after which a caller leaves, in seconds.
+    """Returns the seconds of silence after which callers abandon a stream.
 
     Args:
         objective_s: First-token objective, in seconds; 0 once the first event
