--- a/copperloom/daemons/front.py
+++ b/copperloom/daemons/front.py
@@ -5,12 +5,13 @@
   copperloom-front --help
 
 Options:
-  --settings FILE  INI file with settings of our own; defaults if not given.
+  --settings FILE  INI file with this program's settings; defaults if not given.
 
-The platform's settings of the instance are in the file that an environment
-variable names. Stops gracefully on SIGTERM or SIGINT: it reports that it is not
-ready, accepts connections until the load balancer has noticed, then finishes
-the requests in progress and exits. SIGHUP reloads the platform's settings.
+The settings that the platform gives each instance are in a file that an
+environment variable names. Stops gracefully on SIGTERM or SIGINT: it reports
+that it is not ready, accepts connections until the load balancer has noticed,
+then finishes the requests in progress and exits. SIGHUP reloads the platform's
+settings.
 """
 
 import asyncio
@@ -46,8 +47,8 @@
 # Requests on accepted connections arrive within this time: an instance that
 # has been idle for longer can stop.
 IDLE_S = 0.3
-# Part of the grace period kept for releases and for closing sockets, also on a
-# slow instance.
+# Part of the grace period reserved for releasing memory and closing sockets;
+# enough for a slow instance.
 CLOSE_RESERVE_S = 0.9
 # Timeout for releasing the memory reserved by the last requests.
 RELEASE_TIMEOUT_S = 0.3
@@ -171,8 +172,8 @@
 async def _keep_running(name: str, loop) -> None:
     """Restarts a controller's loop after an unexpected error.
 
-    Without it, the instance would go on serving with outdated routes, targets
-    or members.
+    Otherwise the instance would keep serving with outdated routes, targets or
+    members.
     """
     while True:
         try:
--- a/copperloom/ingress/admit.py
+++ b/copperloom/ingress/admit.py
@@ -18,10 +18,10 @@
 async def await_start(ex: exchange.Exchange, nxt: exchange.Next) -> None:
     """Holds requests until routes, targets and peers' work are known.
 
-    An instance listens shortly before it has read its tables. Callers refused
-    then would spend their retry at instances that may know as little. Requests
-    placed before peers have reported their work would go to engines that
-    wrongly appear idle.
+    An instance starts to listen before it has read the tables. Callers refused
+    in this time could spend their retry at another instance that has just
+    started. Requests placed before peers have reported their work would go to
+    engines that wrongly appear idle.
     """
     state = ex.state
     if not (state.routing_known.is_set() and state.peers_synced.is_set()):
@@ -45,7 +45,7 @@
     """Sets the route, the service and the final deadline."""
     table = ex.state.table
     if not table.version:
-        # Without a table, a 404 could be wrong.
+        # A 404 would be wrong if the route is in a table not loaded yet.
         raise exception.StaleConfigurationError(
             "instance has not loaded its routes yet; retry later",
             retry_after_s=_NOT_READY_RETRY_S,
@@ -67,7 +67,7 @@
 
 
 async def authorise(ex: exchange.Exchange, nxt: exchange.Next) -> None:
-    """Sets the organisation to which the request's key belongs."""
+    """Sets the organisation of the request's key, and selects the service."""
     table = ex.state.table
     if table.keyed and not ex.route.public:
         organisation = table.organisations.get(ex.head.key)
--- a/copperloom/ingress/announcements.py
+++ b/copperloom/ingress/announcements.py
@@ -1,7 +1,7 @@
 """Selects the members that instances announce to each other.
 
-An instance that starts asks a few others for the members that matter to it,
-and needs no call to the platform's table if one of them replies. Digests also
+An instance that starts asks a few others for the members that it needs to
+know, and calls the platform's table only if none of them replies. Digests also
 announce members that were discovered recently.
 """
 
@@ -56,7 +56,7 @@
 def relevant_members(
     state: IngressState, member: Member, now: float
 ) -> list[datagrams.Announcement]:
-    """Selects the members that matter to one that has just started.
+    """Selects the members that an instance needs to know after its start.
 
     These are all members of its data centre, and those that may own the shards
     of the other data centres.
--- a/copperloom/ingress/datagrams.py
+++ b/copperloom/ingress/datagrams.py
@@ -1,7 +1,7 @@
 """Messages that instances send each other as datagrams.
 
-A digest holds all work in progress of its sender, so the next one makes up for
-a lost one. A placement request asks a shard owner where to place a request; if
+A digest holds all work in progress of its sender, so the next one replaces a
+lost one. A placement request asks a shard owner where to place a request; if
 it or its reply is lost, the sender asks another owner.
 """
 
@@ -95,13 +95,13 @@
         routes_version: Version of its routes.
         targets_version: Version of its targets.
         draining: Whether it is stopping.
-        table_unreachable: Whether a table of the platform does not answer it.
+        table_unreachable: Whether it can't read a table of the platform.
         work: All its work in progress.
         penalties: Penalties of targets, by name.
         announced: Members that the receiver may not know yet.
         failures: Failures of targets that it has observed, by name.
-        requests_members: Whether the reply should name the members that matter
-            to the sender.
+        requests_members: Whether the reply should name the members that the
+            sender needs to know.
         busy: Utilisation of the targets of its data centre, by service.
         fleet_size: Number of instances, as far as it knows.
     """
@@ -217,7 +217,7 @@
 
 
 def decode_work(wire: WireWork, now: float) -> inflight.Work:
-    """Decodes a peer's work to times of this instance's clock."""
+    """Decodes a peer's work, with times by this instance's clock."""
     return inflight.Work(
         target=wire.target,
         prefill_s=wire.prefill_ms / _MS,
@@ -233,13 +233,13 @@
 
 
 def make_reply(
-    number: int, decision: placement_query.Decision
+    query_id: int, decision: placement_query.Decision
 ) -> PlacementReply:
     """Builds the reply that holds a decision."""
     chosen = decision.choice
     wait_s = chosen.delay_s if isinstance(chosen, plans.Deferral) else 0.0
     return PlacementReply(
-        call_id=number,
+        call_id=query_id,
         owner=decision.decided_by,
         plan=chosen if isinstance(chosen, plans.Plan | None) else chosen.plan,
         wait_s=wait_s,
--- a/copperloom/ingress/exchange.py
+++ b/copperloom/ingress/exchange.py
@@ -12,7 +12,7 @@
 
 __all__ = ["Exchange", "Filter", "Next", "engine"]
 
-# Time limit of a caller that states none, unless its route's is lower.
+# Time limit of requests that state none; their route may set a lower one.
 _DEFAULT_TIME_LIMIT_S = 60.0
 
 
@@ -33,7 +33,7 @@
         service: The service that the route selected.
         shard: The targets of the service that it may be sent to.
         organisation: Owner of its key, "" on public routes.
-        priority: Rank; 0 goes first.
+        priority: Its priority; 0 is the highest.
         body: The complete body.
         table_version: Version of the routes under which it was admitted.
         plan: Its current placement.
@@ -91,7 +91,7 @@
 
 
 def engine(ex: Exchange) -> routing.EngineSpec | None:
-    """Returns the engine parameters of its service; None for plain services."""
+    """Returns the engine parameters of the service; None if it is plain."""
     spec = ex.state.table.services.get(ex.service)
     return spec.engine if spec is not None else None
 
--- a/copperloom/ingress/forward.py
+++ b/copperloom/ingress/forward.py
@@ -29,7 +29,7 @@
 
 __all__ = ["forward"]
 
-# A failed connection runs nothing, but each one may cost the caller
+# A failed connection attempt runs nothing, but each one may take up to
 # sender.CONNECT_TIMEOUT_S.
 _MAX_UNREACHABLE = 4
 # Engines admit 0 first. Short prompts precede long ones, since a long prefill
@@ -41,10 +41,10 @@
 _MEMORY_WAIT_S = 0.25
 _MEMORY_RETRY_S = 1.0
 # Share of the remaining time after which a plain request is sent to another
-# target, which then has about as long.
+# target, which then has about as much time.
 _PLAIN_TIMEOUT_SHARE = 0.45
-# Delay before a plan with draining targets is replaced, so that its owner may
-# receive the update.
+# Delay before a plan with draining targets is replaced, so that the shard owner
+# can receive the update first.
 _STALE_PLAN_DELAY_S = 0.01
 _MISDIRECTED = 421
 _SERVER_ERROR = 500
@@ -147,7 +147,7 @@
 
 
 async def _attempt(ex: exchange.Exchange) -> None:
-    """Sends the request once and records its work for the duration."""
+    """Sends the request once; its work is in the in-flight table meanwhile."""
     state = ex.state
     entry = registry.find(state.targets, ex.plan.lead)
     now = asyncio.get_running_loop().time()
@@ -190,7 +190,7 @@
 
 
 def _head_timeout_s(ex: exchange.Exchange, now: float) -> float | None:
-    """Returns the timeout for the head of an answer in seconds; None: none.
+    """Returns the timeout for an answer's head in seconds, or None for none.
 
     A request that may run again is sent elsewhere while there is time for it.
     Any other one waits until its deadline.
@@ -215,7 +215,7 @@
     """Checks that a reply is the target's answer to this request.
 
     Returns:
-        What the headers of the reply state.
+        The values of the reply's headers.
 
     Raises:
         copperloom.exception.TargetRefusedError: The target did not run it.
@@ -231,7 +231,7 @@
         raise error
     if facts.request and facts.request != ex.id:
         raise exception.StreamBrokenError(
-            "target answered with the id of another request"
+            "target answered with the request id of another request"
         )
     if facts.encoded:
         raise exception.StreamBrokenError(
@@ -246,13 +246,13 @@
     may_retry = ex.route.repeatable and len(ex.sent_to) < ex.route.max_attempts
     if may_retry or not facts.sealed:
         raise exception.StreamBrokenError(
-            f"target failed: status {reply.status}"
+            f"target answered with a server error: status {reply.status}"
         )
     return facts
 
 
 def _find_target(ex: exchange.Exchange, at_fault: str) -> str:
-    """Returns the target that a refusal names by name or address, or ""."""
+    """Returns the name of the target at fault, or "" if it is unknown."""
     for name, entry in ex.state.targets.entries.items():
         if at_fault and at_fault in (name, entry.address):
             return name
--- a/copperloom/ingress/gossip.py
+++ b/copperloom/ingress/gossip.py
@@ -41,11 +41,12 @@
     "send_digest",
 ]
 
-# Shortest interval between digests. Peers that place before they receive a
-# change choose the same engine.
+# Minimum interval between digests. Short, since peers that place a request
+# before they receive a change may choose the same engine.
 BATCH_S = 0.008
-# Finished work and finished prefills affect no peer before an engine's next
-# iteration; most of them are sent along with the next work that is added.
+# Delay of digests that report finished work or prefills only. They affect no
+# placement before the engine's next iteration, and most of them are sent along
+# with the next added work.
 MINOR_CHANGE_DELAY_S = 0.05
 HEARTBEAT_S = 0.5
 # In a large fleet the heartbeats of idle instances dominate the traffic.
@@ -60,7 +61,7 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """The datagram socket.
+    """Exchanges datagrams with other instances over one socket.
 
     Attributes:
         state: The instance's state.
@@ -203,7 +204,7 @@
 
 
 async def announce_start(gossip: Gossip) -> None:
-    """Announces the start of this instance to those that know others' work.
+    """Announces this instance's start to members that know others' work.
 
     They reply at once. Without their digests, instances that start at the same
     moment would all assume that every target is idle.
@@ -221,7 +222,7 @@
 def request_members(
     gossip: Gossip, addresses: Iterable[str], now: float
 ) -> None:
-    """Asks the instances at some addresses for the members that they know."""
+    """Asks the instances at these addresses for the members that they know."""
     data = _encode(gossip, now, [], requests_members=True)
     for address in addresses:
         gossip.send(data, address)
--- a/copperloom/ingress/local_placement.py
+++ b/copperloom/ingress/local_placement.py
@@ -1,4 +1,4 @@
-"""Decides where a request goes by this instance's own in-flight table."""
+"""Places requests by this instance's own in-flight table."""
 
 from copperloom import routing
 from copperloom.decisions import (
@@ -29,7 +29,7 @@
     *,
     alone: bool = False,
 ) -> placement_query.Decision:
-    """Decides whether and where to send a request, own or a peer's.
+    """Decides whether and where to send an own or a peer's request.
 
     Args:
         state: The state of the instance that decides.
--- a/copperloom/ingress/mechanisms.py
+++ b/copperloom/ingress/mechanisms.py
@@ -1,8 +1,8 @@
 """Turns single mechanisms off for ablation experiments.
 
-Each switch names a constant and the value that disables its mechanism. It is
-meant for experiments only: the benefit of a mechanism under a load shows when
-the same load is replayed without it.
+Each switch names a constant and the value that disables its mechanism. Running
+the same load with and without a mechanism shows its effect. The switches are
+not meant for production.
 """
 
 import dataclasses
@@ -12,6 +12,7 @@
 
 __all__ = ["MECHANISMS", "Switch", "turn_off"]
 
+# As a threshold or minimum, a value that is never reached.
 _NEVER = 1e9
 
 
@@ -31,45 +32,45 @@
 
 
 MECHANISMS: dict[str, tuple[Switch, ...]] = {
-    # Decodes are packed on few engines, which leaves others for prefills.
+    # Packs decodes on few engines, so that the others are free for prefills.
     "gathering": (Switch("decisions.planner", "PACK_COST", 0.0),),
-    # Engines with little free memory are avoided.
+    # Prefers engines with much free memory for decodes.
     "full_memory": (Switch("decisions.planner", "FULL_COST", 0.0),),
-    # Long prompts are split into parts for several engines.
+    # Splits long prompts into parts that several engines prefill in parallel.
     "parts": (Switch("decisions.planner", "SHORTEST_PART_S", _NEVER),),
-    # Each additional part has a cost.
+    # Adds a cost for each part after the first, so that splits stay small.
     "part_price": (Switch("decisions.planner", "PART_COST", 0.0),),
-    # Local engines are preferred.
+    # Prefers lead engines in the same data centre.
     "near": (Switch("decisions.planner", "LOCAL_GAIN", 0.0),),
-    # Prompts whose cost to other requests exceeds their worth are refused.
+    # Refuses prompts that would cost other requests more than they are worth.
     "refusal": (Switch("decisions.planner", "REFUSE_COST_RATIO", _NEVER),),
-    # Long prompts are deferred until engines become free.
+    # Defers long prompts if a later placement is expected to cost less.
     "waiting": (Switch("decisions.deferral", "COSTLY_SHARE", _NEVER),),
-    # Interference includes requests that arrive during a prefill.
+    # Includes requests that will arrive during a prefill in its interference.
     "arrivals": (Switch("decisions.interference", "SHORT_ANSWER_S", _NEVER),),
-    # Waiting has a cost, even within the latency objective.
+    # Prefers shorter waits among placements that meet all objectives.
     "wait_price": (Switch("decisions.interference", "WAIT_COST", 0.0),),
-    # Targets that failed recently are avoided.
+    # Avoids targets that failed recently.
     "penalties": (
         Switch("decisions.planner", "PENALTY_COST", 0.0),
         Switch("decisions.health", "MAX_PENALTY", 0.0),
     ),
-    # Penalties that peers report are applied.
+    # Applies the penalties of targets that peers report.
     "hearsay": (Switch("decisions.health", "PEER_DISCOUNT", 0.0),),
-    # Targets that decode slowly are penalised.
+    # Penalises targets that decode slowly.
     "pace": (Switch("decisions.decode_rate", "SLOW_FACTOR", _NEVER),),
-    # Stalled streams are resumed at another target.
+    # Resumes stalled streams at another target.
     "stalls": (Switch("ingress.relay", "STALL_SHARE", _NEVER),),
-    # Streams without a first event are retried at another target.
+    # Retries streams at another target if the first event is overdue.
     "first_event": (
         Switch("decisions.timeouts", "FIRST_SLACK_S", _NEVER),
         Switch("decisions.timeouts", "SOON_SLACK_S", _NEVER),
     ),
-    # Engines admit short prompts before long ones.
+    # Makes engines admit short prompts before long ones.
     "priority": (Switch("ingress.forward", "LONG_PRIORITY", 1),),
-    # A few instances watch the tables and send updates to the others.
+    # Lets only a few instances watch the tables and update the others.
     "followers": (Switch("ingress.watchers", "WATCHERS", 1_000_000),),
-    # Requests that arrive before routes are known are held.
+    # Holds requests that arrive before routes are known.
     "hold_at_start": (Switch("daemons.front", "START_HOLD_S", 0.0),),
 }
 
--- a/copperloom/ingress/metrics.py
+++ b/copperloom/ingress/metrics.py
@@ -55,25 +55,25 @@
         )
         self.longest_gap = prometheus_client.Histogram(
             "copperloom_stream_pause_seconds",
-            "Longest pause between two events of a stream.",
+            "Longest gap between two events of a stream.",
             buckets=_FIRST_BUCKETS_S,
             registry=self.registry,
         )
         self.attempts = prometheus_client.Counter(
             "copperloom_attempts",
-            "Sends to targets by outcome.",
+            "Attempts to send requests to targets, by outcome.",
             ["outcome"],
             registry=self.registry,
         )
         self.table_failures = prometheus_client.Counter(
             "copperloom_store_failures",
-            "Failed calls to the platform's table, by table.",
+            "Failed calls to the platform's table service, by table.",
             ["table"],
             registry=self.registry,
         )
         self.owner_queries = prometheus_client.Counter(
             "copperloom_owner_questions",
-            "Placements asked of owners, by result.",
+            "Placement queries to shard owners, by result.",
             ["result"],
             registry=self.registry,
         )
@@ -84,7 +84,7 @@
         )
         self.placement_wait = prometheus_client.Histogram(
             "copperloom_place_wait_seconds",
-            "Time that a request waited for a place at a target.",
+            "Time that a request waited for a free slot at a target.",
             ["kind"],
             buckets=_FIRST_BUCKETS_S,
             registry=self.registry,
--- a/copperloom/ingress/outcome.py
+++ b/copperloom/ingress/outcome.py
@@ -114,7 +114,7 @@
     now = asyncio.get_running_loop().time()
     status = ex.response.status if ex.response is not None else 0
     ex.state.metrics.requests.labels(status, code).inc()
-    pairs = {
+    fields = {
         "request": ex.id,
         "outcome": ex.outcome,
         "status": status,
@@ -125,20 +125,20 @@
         "routes_version": ex.table_version,
     }
     if ex.reason:
-        pairs["reason"] = ex.reason
+        fields["reason"] = ex.reason
     if ex.plan is not None:
-        pairs["target"] = ex.plan.lead
-        pairs["helpers"] = len(ex.plan.helpers)
+        fields["target"] = ex.plan.lead
+        fields["helpers"] = len(ex.plan.helpers)
     if ex.first_at is not None:
         first_byte_s = ex.first_at - ex.arrived
-        pairs["first_s"] = first_byte_s
+        fields["first_s"] = first_byte_s
         kind = ex.route.kind.value if ex.route else ""
         length = metrics.prompt_length(ex.head.prompt_tokens)
         ex.state.metrics.first_byte.labels(kind, length).observe(first_byte_s)
-        pairs |= _missed_objective(ex, first_byte_s)
+        fields |= _missed_objective(ex, first_byte_s)
     if ex.longest_gap_s:
-        pairs["pause_s"] = ex.longest_gap_s
+        fields["pause_s"] = ex.longest_gap_s
         ex.state.metrics.longest_gap.observe(ex.longest_gap_s)
     if ex.head.prompt_tokens:
-        pairs["prompt_tokens"] = ex.head.prompt_tokens
-    logs.event("outcome", **pairs)
+        fields["prompt_tokens"] = ex.head.prompt_tokens
+    logs.event("outcome", **fields)
--- a/copperloom/ingress/peer_fetch.py
+++ b/copperloom/ingress/peer_fetch.py
@@ -1,8 +1,8 @@
 """Fetches newer routes and targets from peers.
 
-A digest shows that its sender has a newer version. One fetch runs at a time,
-from a random member among those that are ahead. If none has helped, the
-instance reads the platform's tables itself.
+Each digest holds the versions of its sender. One fetch runs at a time, from a
+random member that has a newer version. If no member provides one, the instance
+reads the platform's tables itself.
 """
 
 import asyncio
@@ -15,8 +15,9 @@
 
 __all__ = ["PeerFetch", "fetch_if_behind"]
 
-# Peers that may bring no progress before the tables are read. Few, since each
-# may take a whole timeout, and changes have to be in force within seconds.
+# Maximum number of peers that fail to provide a newer version before the tables
+# are read. Low, since each may take a whole timeout, and changes have to be in
+# force within seconds.
 MAX_NO_PROGRESS = 2
 # Time limit for fetches from peers, after which the tables are read.
 MAX_WAIT_S = 1.2
@@ -39,9 +40,9 @@
 def fetch_if_behind(
     fetch: PeerFetch, state: IngressState, member: Member
 ) -> None:
-    """Starts a fetch if a member is ahead and no fetch is running."""
-    busy = fetch.task is not None and not fetch.task.done()
-    if not busy and _is_ahead(state, member):
+    """Starts a fetch if a member has newer versions and no fetch is running."""
+    is_running = fetch.task is not None and not fetch.task.done()
+    if not is_running and _is_ahead(state, member):
         fetch.task = asyncio.ensure_future(_fetch_newer(state))
 
 
@@ -53,7 +54,7 @@
 
 
 async def _fetch_newer(state: IngressState) -> None:
-    """Fetches until no member is ahead; requests a table read otherwise."""
+    """Fetches newer versions from peers; reads the tables if that fails."""
     loop = asyncio.get_running_loop()
     fetchers = len(recipients.local_members(state))
     is_starting = not state.routing_known.is_set()
--- a/copperloom/ingress/placement.py
+++ b/copperloom/ingress/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the target of a request, and waits while all of them are full."""
+"""Chooses the target of a request, and waits while all targets are full."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 async def place(ex: exchange.Exchange) -> plans.Plan:
-    """Returns the plan by which to send a request.
+    """Returns the plan by which to send a request, once there is one.
 
     Raises:
         copperloom.exception.NoTargetError: The service has no usable target.
@@ -63,7 +63,7 @@
 
 
 def to_query(ex: exchange.Exchange, now: float) -> placement_query.Query:
-    """Returns the query that describes the request to whoever places it."""
+    """Returns the placement query for a request."""
     prompt = None
     held_tokens = 0
     if ex.head.prompt_tokens:
@@ -97,10 +97,10 @@
 
 
 def _may_lead(ex: exchange.Exchange) -> tuple[str, ...] | None:
-    """Returns the targets that may lead the request; None: any.
+    """Returns the targets that may be the lead engine; None allows all.
 
-    A request whose route allows no further target may still be sent again to
-    one that it was sent to, if a helper engine made the last attempt fail.
+    If the route allows no further target, the request may still be sent again
+    to an earlier one, in case a helper engine caused the last failure.
     """
     if len(ex.sent_to) < ex.route.max_attempts:
         return None
@@ -116,15 +116,15 @@
         return
 
 
-def _log_deferral(ex, wait: plans.Deferral, waited_s: float) -> None:
+def _log_deferral(ex, deferral: plans.Deferral, waited_s: float) -> None:
     logs.event(
         "place_waits",
         request=ex.id,
         service=ex.service,
-        wait_s=wait.delay_s,
+        wait_s=deferral.delay_s,
         waited_s=waited_s,
-        cost=wait.plan.cost,
-        predicted_s=wait.plan.first_token_s,
+        cost=deferral.plan.cost,
+        predicted_s=deferral.plan.first_token_s,
     )
 
 
--- a/copperloom/ingress/placement_rpc.py
+++ b/copperloom/ingress/placement_rpc.py
@@ -22,11 +22,11 @@
 __all__ = ["decide", "handle_reply", "handle_request", "shard_of"]
 
 # Covers a round trip and a placement. Short, so that another owner can still
-# reply before a short prompt misses its objective.
+# be queried before a short prompt misses its objective.
 QUERY_TIMEOUT_S = 0.025
 # Placing a long prompt takes an owner longer.
 LONG_QUERY_TIMEOUT_S = 0.1
-# Owners to which a request's query is sent before it is placed without them.
+# Maximum number of owners that are queried before a request is placed locally.
 _MAX_OWNERS_QUERIED = 2
 
 
@@ -42,7 +42,7 @@
 async def decide(
     state: IngressState, query: placement_query.Query, now: float
 ) -> placement_query.Decision:
-    """Returns the placement of a request, by this instance or a shard owner."""
+    """Returns the decision of this instance or a shard owner on a request."""
     if not is_large_fleet(state):
         return local_placement.decide(state, query, now)
     decision = await _decide_in_shard(state, query, now)
@@ -88,7 +88,9 @@
         if reply is not None and reply.targets:
             return reply
     now = asyncio.get_running_loop().time()
-    logs.event("placed_alone", request=query.request, shard=_name(query.shard))
+    logs.event(
+        "placed_alone", request=query.request, shard=_shard_name(query.shard)
+    )
     return local_placement.decide(state, query, now, alone=True)
 
 
@@ -99,7 +101,7 @@
     return members.rank_owners(state.members, candidate, own.data_centre, shard)
 
 
-def _name(shard: shards.Shard) -> str:
+def _shard_name(shard: shards.Shard) -> str:
     return f"{shard.service}/{shard.data_centre or '*'}"
 
 
@@ -108,14 +110,14 @@
 ) -> placement_query.Decision | None:
     """Sends a query to one owner; returns None if it times out."""
     loop = asyncio.get_running_loop()
-    number = next(state.query_ids)
+    query_id = next(state.query_ids)
     future = loop.create_future()
-    state.pending_queries[number] = future
+    state.pending_queries[query_id] = future
     message = datagrams.PlacementRequest(
         sender=state.settings.instance,
         datagrams=state.datagrams,
         sequence=state.sequence,
-        call_id=number,
+        call_id=query_id,
         query=query,
     )
     is_long = query.prompt and query.prompt.tokens > plans.SHORT_TOKENS
@@ -130,7 +132,7 @@
         _record_timeout(state, owner, query, loop.time() - sent_at)
         return None
     finally:
-        del state.pending_queries[number]
+        del state.pending_queries[query_id]
     state.metrics.owner_queries.labels("answered").inc()
     return reply
 
@@ -148,7 +150,7 @@
     logs.event(
         "owner_silent",
         request=query.request,
-        shard=_name(query.shard),
+        shard=_shard_name(query.shard),
         owner=owner,
         waited_s=waited_s,
     )
--- a/copperloom/ingress/recipients.py
+++ b/copperloom/ingress/recipients.py
@@ -21,10 +21,10 @@
 # normal for one that is starting.
 _SILENCE_LIMIT_S = 30.0
 # Owners of a shard get digests for this duration after the last request there
-# has ended, so that they learn of its end.
+# has ended, so that they remove its work from their in-flight tables.
 _SHARD_KEPT_S = 2.0
-# Owners of each other data centre that an owner of this one sends digests to,
-# so that a change read by one of them spreads to all data centres.
+# Number of owners in each other data centre that an owner sends digests to, so
+# that a change read in one data centre spreads to all.
 _REMOTE_OWNERS = 2
 
 
@@ -37,16 +37,16 @@
     """
     if not is_large_fleet(state):
         return list(state.members.values())
-    found = {}
+    selected = {}
     for shard in _shards(state, now):
         for member in _owners(state, shard, now):
-            found[member.instance] = member
+            selected[member.instance] = member
     if owns_local_shards(state, now):
         for data_centre in _remote_data_centres(state):
             remote = shards.Shard("", data_centre)
             for member in _owners(state, remote, now)[:_REMOTE_OWNERS]:
-                found[member.instance] = member
-    return list(found.values())
+                selected[member.instance] = member
+    return list(selected.values())
 
 
 def for_broadcast(state: IngressState, now: float) -> list[Member]:
@@ -91,7 +91,7 @@
 
 
 def remove_silent(state: IngressState, now: float) -> None:
-    """Removes members that have not replied for a long time."""
+    """Removes members whose expected messages have not come for a long time."""
     for member in list(state.members.values()):
         known_at = max(member.discovered_at, member.last_received_at)
         is_expected = (
@@ -104,22 +104,22 @@
 
 def _shards(state: IngressState, now: float) -> set[shards.Shard]:
     """Returns the shards whose owners should know this instance's work."""
-    found = {_local_shard(state)}
+    used = {_local_shard(state)}
     # Owners in other data centres get placement queries only if they sent a
     # message recently; without digests to them, an idle instance would have to
     # place its next request alone.
     for service in state.targets.low_latency:
         usable = registry.usable_by_shard(state.targets, service, now)
         home = shards.home_shard(service, usable, state.settings.data_centre)
-        found.add(home)
+        used.add(home)
     for request, (shard, placed_at) in list(state.shards_used.items()):
         if request in state.inflight.own:
             state.shards_used[request] = (shard, now)
         elif now - placed_at > _SHARD_KEPT_S:
             del state.shards_used[request]
             continue
-        found.add(shard)
-    return found
+        used.add(shard)
+    return used
 
 
 def _local_shard(state: IngressState) -> shards.Shard:
@@ -145,5 +145,5 @@
 
 
 def _remote_data_centres(state: IngressState) -> set[str]:
-    found = {m.data_centre for m in state.members.values()}
-    return found - {"", state.settings.data_centre}
+    known = {m.data_centre for m in state.members.values()}
+    return known - {"", state.settings.data_centre}
--- a/copperloom/ingress/registration.py
+++ b/copperloom/ingress/registration.py
@@ -1,7 +1,7 @@
 """Discovers the other instances, and registers this one.
 
 An instance that starts contacts the seeds in its settings; a seed that replies
-names the members that matter to it. If none replies, the instance reads the
+names the members that it needs to know. If none replies, the instance reads the
 platform's table of members. The table holds a row for each instance of a small
 fleet, but only for the shard owners of a large one: these know all others, and
 a call for each of hundreds of starting instances would be costly. A row is
@@ -26,8 +26,8 @@
 
 _FIRST_RETRY_S = 0.2
 _MAX_RETRY_S = 2.0
-# Interval between reads of the rows, which heal the membership after a network
-# partition. It can be long: an instance that starts announces itself to others.
+# Interval between reads of the rows, which restore the membership after a
+# network partition. It can be long, since a starting instance announces itself.
 _REFRESH_S = 120.0
 # Interval of the check whether this instance has become a shard owner.
 _OWNERSHIP_CHECK_S = 3.0
@@ -45,7 +45,7 @@
     """Discovers members and registers this instance, until cancelled."""
     state = protocol.state
     await _contact_seeds(protocol)
-    written = False
+    is_registered = False
     failures = 0
     empty_rounds = 0
     while True:
@@ -55,9 +55,9 @@
             if not state.peers_synced.is_set():
                 await gossip.announce_start(protocol)
             # Shard ownership is known once the other members have replied.
-            if not written and _needs_row(state):
+            if not is_registered and _needs_row(state):
                 await _write_row(state)
-                written = True
+                is_registered = True
             failures = 0
             empty_rounds = empty_rounds + 1 if _is_alone(state) else 0
             await asyncio.sleep(_check_delay_s(state, empty_rounds))
@@ -75,9 +75,9 @@
 
 
 def _should_read_rows(state: IngressState) -> bool:
-    """Returns whether the rows may name unknown members that matter.
+    """Returns whether the rows may name members that are needed but unknown.
 
-    The fleet size that peers report does not count: a peer that has just
+    The fleet size that peers report is not used: a peer that has just
     started reports a large fleet without knowing its shard owners.
     """
     knows_few = not shards.has_owners(len(state.members) + 1)
@@ -90,7 +90,7 @@
 
 
 def _check_delay_s(state: IngressState, empty_rounds: int) -> float:
-    """Returns the seconds until the next check; few if no member was found.
+    """Returns the seconds until the next check; fewer without live members.
 
     Of several instances that start at the same moment, each may have read the
     rows before the others wrote theirs.
@@ -111,11 +111,13 @@
         for seed in state.settings.seeds
         if seed != state.settings.peers_listen
     ]
-    first = state.settings.is_first_start
-    end = loop.time() + (FIRST_SEED_REPLY_S if first else SEED_REPLY_S)
-    while loop.time() < end and (first or not state.members):
+    is_first = state.settings.is_first_start
+    end = loop.time() + (FIRST_SEED_REPLY_S if is_first else SEED_REPLY_S)
+    while loop.time() < end and (is_first or not state.members):
         gossip.request_members(protocol, addresses, loop.time())
-        await asyncio.sleep(_FIRST_SEED_RETRY_S if first else SEED_REPLY_S / 2)
+        await asyncio.sleep(
+            _FIRST_SEED_RETRY_S if is_first else SEED_REPLY_S / 2
+        )
 
 
 async def _write_row(state: IngressState) -> None:
@@ -170,7 +172,7 @@
 
 
 async def leave(state: IngressState) -> None:
-    """Removes the own row, unless the platform takes too long to reply."""
+    """Removes this instance's row, unless the platform replies too late."""
     try:
         async with asyncio.timeout(_LEAVE_TIMEOUT_S):
             await store.remove_row(
--- a/copperloom/ingress/relay.py
+++ b/copperloom/ingress/relay.py
@@ -13,9 +13,10 @@
 
 _HOLD_BYTES = 1024 * 1024
 _EVENT_STREAM = "text/event-stream"
-# Share of the time after which callers abandon a silent stream, at which it is
-# resumed at another target. It exceeds any iteration of a working engine, since
-# a needless resumption repeats a prefill, and leaves time for the other target.
+# A silent stream is resumed at another target after this share of the time that
+# callers wait before they abandon it. That is longer than any iteration of a
+# working engine, since a needless resumption repeats a prefill, and leaves time
+# for the other target.
 STALL_SHARE = 0.75
 
 
@@ -27,10 +28,11 @@
     Args:
         ex: The request.
         reply: The target's reply, with its body unread.
-        facts: What the reply's headers state.
+        facts: The values of the reply's headers.
 
     Raises:
-        copperloom.exception.StreamBrokenError: The reply ended too soon.
+        copperloom.exception.StreamBrokenError: The reply broke off, stalled,
+            or can't continue the stream that the caller has begun to receive.
     """
     content_type = reply.headers.get("Content-Type", "")
     if reply.status < 300 and content_type.startswith(_EVENT_STREAM):
@@ -45,7 +47,8 @@
         chunks.append(chunk)
     reply.check_complete()
     if ex.response is not None:
-        # The caller has the start of a stream, which this can't continue.
+        # The caller has the start of a stream, which must not be mixed with a
+        # plain answer.
         raise exception.StreamBrokenError(
             "target sent a plain answer instead of resuming the stream"
         )
@@ -64,7 +67,7 @@
     splitter = events.Splitter()
     content = reply.response.content
     has_begun = False
-    pauses = decode_rate.RecentGaps()
+    gaps = decode_rate.RecentGaps()
     while True:
         chunk = await _read(ex, content, _read_timeout_s(ex, has_begun))
         if not chunk:
@@ -77,14 +80,14 @@
             has_begun = True
             inflight_table.mark_decoding(ex.state.inflight, ex.id)
         else:
-            decode_rate.record_gap(pauses, now - ex.last_at)
-            _record_decode_rate(ex, pauses, now)
+            decode_rate.record_gap(gaps, now - ex.last_at)
+            _record_decode_rate(ex, gaps, now)
         _record_event(ex, now)
         await _forward_events(ex, reply, complete)
     reply.check_complete()
     if splitter.rest:
         raise exception.StreamBrokenError(
-            "stream of the target ended within an event"
+            "target ended its stream in the middle of an event"
         )
     if ex.response is None:
         await _begin_response(ex, reply)
@@ -100,13 +103,13 @@
 
 
 def _record_decode_rate(
-    ex: exchange.Exchange, pauses: decode_rate.RecentGaps, now: float
+    ex: exchange.Exchange, gaps: decode_rate.RecentGaps, now: float
 ) -> None:
-    """Records a failure of the target if it decodes slowly throughout."""
+    """Records a failure of the target if all recent gaps were long."""
     engine = exchange.engine(ex)
     if engine is None:
         return
-    if not decode_rate.is_slow(pauses, engine, ex.head.prompt_tokens):
+    if not decode_rate.is_slow(gaps, engine, ex.head.prompt_tokens):
         return
     ex.slow = True
     target_health = ex.state.health.setdefault(ex.plan.lead, health.Health())
@@ -121,7 +124,7 @@
 
 
 def _read_timeout_s(ex: exchange.Exchange, has_begun: bool) -> float | None:
-    """Returns the timeout for the next bytes of a stream; None: none.
+    """Returns the timeout for a stream's next bytes, or None for none.
 
     Only a stream that can be resumed is abandoned. Any other one continues
     until its deadline.
@@ -146,14 +149,14 @@
 async def _read(
     ex: exchange.Exchange, content, timeout_s: float | None
 ) -> bytes:
-    """Reads available bytes; abandons a silent stream only for a retry."""
+    """Reads available bytes; abandons a stalled stream only to retry it."""
     try:
         async with asyncio.timeout(timeout_s):
             return await content.readany()
     except TimeoutError as error:
         if retry.may_give_up(ex):
             raise exception.StreamBrokenError(
-                "stream of the target stalled"
+                "target sent no more of its stream before the timeout"
             ) from error
     return await content.readany()
 
--- a/copperloom/ingress/reserve.py
+++ b/copperloom/ingress/reserve.py
@@ -91,7 +91,7 @@
 
 
 def _release_all(ex: exchange.Exchange, holds) -> None:
-    """Releases all reservations in the background, without delay to callers."""
+    """Releases all reservations in the background; callers do not wait."""
     name = ex.reservation
     for hold in holds:
         task = asyncio.ensure_future(_release(ex, hold.target, name))
--- a/copperloom/ingress/retry.py
+++ b/copperloom/ingress/retry.py
@@ -1,7 +1,7 @@
 """Decides whether a request may be sent to one more target.
 
-An attempt that gets no answer is abandoned only after a retry was granted: if
-no other target may get the request, the silent one may still answer it.
+An attempt without an answer is abandoned only if a retry is granted: otherwise
+the silent target may still answer before the deadline.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 __all__ = ["may_give_up", "take_retry"]
 
-# Attempts of one request, including those that helper engines made fail.
+# Maximum attempts of one request, counting those that helper engines failed.
 _MAX_ATTEMPTS = 4
 
 
--- a/copperloom/ingress/scrape.py
+++ b/copperloom/ingress/scrape.py
@@ -48,12 +48,12 @@
     status = views.status(state, now)
     version = core.GaugeMetricFamily(
         "copperloom_version",
-        "Version of what this instance goes by.",
+        "Version of the routes or targets in force at this instance.",
         labels=["of"],
     )
     age = core.GaugeMetricFamily(
         "copperloom_version_age_seconds",
-        "Time since that version was taken over.",
+        "Time since that version was applied.",
         labels=["of"],
     )
     for name in ("routes", "targets"):
@@ -74,13 +74,15 @@
 def _members(state: IngressState, now: float):
     live = live_members(state, now)
     member_counts = core.GaugeMetricFamily(
-        "copperloom_members", "Other instances known.", labels=["state"]
+        "copperloom_members",
+        "Other known instances by state.",
+        labels=["state"],
     )
     member_counts.add_metric(["live"], len(live))
     member_counts.add_metric(["silent"], len(state.members) - len(live))
     oldest = core.GaugeMetricFamily(
         "copperloom_member_age_seconds",
-        "Time since the live member was heard that was heard longest ago.",
+        "Longest time since the last message of a live member.",
         value=max((now - m.last_received_at for m in live), default=0.0),
     )
     return member_counts, oldest
@@ -90,7 +92,7 @@
     sharing = members.count_sharing(state.members, now)
     left = core.GaugeMetricFamily(
         "copperloom_repeats_left",
-        "Repeats that this instance may still send in the window.",
+        "Retries that this instance may still send in the window.",
         labels=["service"],
     )
     for service in state.budget.requests:
@@ -98,7 +100,7 @@
         left.add_metric([service], value)
     releases = core.GaugeMetricFamily(
         "copperloom_background_tasks",
-        "Releases of reserved memory under way.",
+        "Releases of reserved memory in progress.",
         value=len(state.background),
     )
     return left, releases
@@ -107,7 +109,7 @@
 def _calls(state: IngressState):
     calls = core.CounterMetricFamily(
         "copperloom_store_calls",
-        "Calls to the platform's table, by call and result.",
+        "Calls to the platform's table service, by call and result.",
         labels=["call", "result"],
     )
     for (name, result), count in state.store.calls.items():
--- a/copperloom/ingress/sender.py
+++ b/copperloom/ingress/sender.py
@@ -148,8 +148,9 @@
             continues.
 
     Raises:
-        copperloom.exception.TargetUnreachableError: Nothing was sent.
-        copperloom.exception.StreamBrokenError: It may have run.
+        copperloom.exception.TargetUnreachableError: No connection was made,
+            so the request has not run.
+        copperloom.exception.StreamBrokenError: The request may have run.
     """
     url = yarl.URL(f"http://{address}{raw_path}", encoded=True)
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
--- a/copperloom/ingress/state.py
+++ b/copperloom/ingress/state.py
@@ -57,13 +57,13 @@
         inflight: Work in progress at the targets, of all instances.
         digest_due: Set when a digest should be sent to peers at once.
         sequence: Sequence number of the last digest sent.
-        datagrams: IP:port of the datagram socket, once it is open.
+        datagrams: IP:port of the datagram socket; "" until it is open.
         send: Sends a datagram to an IP:port.
         pending_queries: Futures of placement queries to shard owners, by
             query number.
         query_ids: Source of query numbers.
         shards_used: For each request, the shard that it was last placed on
-            and the monotonic time of that.
+            and the monotonic time of its last use.
         listening_since: Monotonic time at which this instance began to listen.
         reported_fleet_size: Largest fleet size that a peer or a row of the
             platform's table has reported.
--- a/copperloom/ingress/stopping.py
+++ b/copperloom/ingress/stopping.py
@@ -1,4 +1,4 @@
-"""Bounds the requests of an instance that stops.
+"""Bounds the deadlines of requests at an instance that is stopping.
 
 The platform kills a stopping instance at the end of a grace period, which
 would cut off its requests when their callers have no time left to retry. So
@@ -34,14 +34,14 @@
 
 
 def bound_deadline(ex: exchange.Exchange) -> None:
-    """Lowers a request's deadline to the end of its instance."""
+    """Lowers a request's deadline to the time at which the instance ends."""
     if ex.state.drain_until < ex.deadline:
         ex.deadline = ex.state.drain_until
         ex.limit.reschedule(ex.deadline)
 
 
 def check_time_left(ex: exchange.Exchange) -> None:
-    """Refuses a request whose answer would begin after the instance's end.
+    """Refuses a request whose answer would begin after the instance ends.
 
     Raises:
         copperloom.exception.DrainingError: The caller should retry, at another
--- a/copperloom/ingress/table_watch.py
+++ b/copperloom/ingress/table_watch.py
@@ -1,4 +1,4 @@
-"""Keeps routes and targets in step with the platform's tables.
+"""Keeps routes and targets up to date with the platform's tables.
 
 One loop for each table reads the whole table first, then its changes. While the
 platform does not answer, the known routes and targets stay in force, and newer
@@ -23,8 +23,9 @@
     "watch_targets",
 ]
 
-# The feeds of the watchers end at different times: if the platform loses one in
-# an outage, another watcher soon opens a new one. Keep-alive probes detect a
+# Time that a watcher's feed waits for changes before it is opened again. The
+# feeds end at different times, so that after an outage, which may leave feeds
+# open but silent, some watcher soon opens a new one. Keep-alive probes detect a
 # silent connection sooner.
 FEED_WAIT_S = 5.0
 # Interval at which an instance that is not a watcher reads the tables, for a
@@ -40,13 +41,13 @@
 _JITTER = 0.25
 _FIRST_RETRY_S = 0.15
 _MAX_RETRY_S = 1.2
-# Time that an instance that starts gives its peers to send routes and targets;
+# Time that a starting instance waits for routes and targets from its peers;
 # longer at the first start of the whole system, when no caller is waiting.
 PEER_WAIT_S = 0.5
 FIRST_PEER_WAIT_S = 2.0
-# Without them, the instances of a large fleet read the tables after a random
-# delay, up to this time per instance: the first one to read informs the others,
-# so few read.
+# If none come, the instances of a large fleet read the tables after a random
+# delay of up to this time per instance: the first one to read informs the
+# others, so that few read.
 _READ_SPREAD_S = 0.02
 _MAX_READ_SPREAD_S = 4.0
 # Longest wait for the replies of peers to the announcement of the start.
@@ -122,7 +123,7 @@
 
 
 async def _next_read(state: IngressState) -> float:
-    """Waits until the next read is due; returns how long its feed may wait.
+    """Waits until the next read; returns its feed's maximum wait in seconds.
 
     A watcher reads at once, and its feed waits for changes. Another instance
     waits until its poll is due or a read is requested, and its feed returns at
@@ -180,8 +181,8 @@
         # A peer has sent newer rows in the meantime.
         return
     # The version is that of the newest row, not of the table service, so that
-    # instances with the same rows have the same version, and none takes another
-    # to be ahead.
+    # instances with the same rows have the same version, and none fetches from
+    # another in vain.
     newest = max((row.version for row in feed.rows), default=0)
     newest = max(newest, state.targets.version)
     rows = [rowlog.Row(r.key, r.version, r.value) for r in feed.rows]
--- a/copperloom/ingress/tests/test_admit.py
+++ b/copperloom/ingress/tests/test_admit.py
@@ -16,7 +16,7 @@
     async def test_request_is_held_until_routes_are_known(self):
         """A starting instance must not refuse what it can serve shortly after.
 
-        Callers would spend their retry at instances that also just started.
+        Callers could spend their retry at another instance that just started.
         """
         system = await fixtures.start_system(self, fronts=0)
         system.store.down = _TABLE_DOWN
@@ -32,7 +32,7 @@
         self.assertEqual([a.status for a in answers], [200, 200])
 
     async def test_request_is_refused_if_routes_stay_unknown(self):
-        """Requests must not be held on while the table service is down.
+        """Requests must not be held for the whole outage of the table service.
 
         They get 503 at the end of the hold, and later ones get it at once.
         """
--- a/copperloom/ingress/tests/test_catalog.py
+++ b/copperloom/ingress/tests/test_catalog.py
@@ -47,8 +47,7 @@
     async def test_nothing_is_denied_before_routes_are_known(self):
         """Guards against 404 or 401 while the table is still unavailable.
 
-        An instance without routes must not deny that a route or key exists; it
-        asks callers to retry.
+        An instance without routes can't know whether a route or key exists.
         """
         system = await fixtures.start_system(self, fronts=0)
         system.store.down = 503
@@ -144,8 +143,7 @@
     async def test_refused_instance_gets_changes_from_its_peer(self):
         """Guards against stale routes and targets if the table refuses one.
 
-        The peer, which the table serves, has to pass on a drained target and a
-        removed key within the time allowed.
+        A peer has to send it a drained target and a removed key in time.
         """
         system = await fixtures.start_system(self, fronts=2, plain=1)
         refused = system.fronts[1].entry
@@ -195,8 +193,7 @@
     async def test_table_is_read_if_all_links_are_full(self):
         """Guards against late changes when no peer has link capacity.
 
-        Each link carries one document in ten seconds. Instances that get none
-        from a peer ask other members, then read the table.
+        Instances that get none from a peer ask others, then read the table.
         """
         system = await fixtures.start_system(self, fronts=0, plain=1)
         for _ in range(8):
@@ -274,8 +271,7 @@
     async def test_refused_watchers_are_replaced(self):
         """Guards against stale routes if the table refuses all watchers.
 
-        They report it, so that other instances watch the table in their place
-        and pass the change on within the time allowed.
+        They report it, so that other instances watch the table instead.
         """
         system = await fixtures.start_system(self, fronts=7, plain=1)
         await asyncio.sleep(0.7)
--- a/copperloom/ingress/tests/test_failures.py
+++ b/copperloom/ingress/tests/test_failures.py
@@ -61,7 +61,7 @@
         self.assertEqual(answer.status, 504)
         await fixtures.until(lambda: target.left == 1)
 
-    async def test_request_goes_on_after_failed_connection(self):
+    async def test_request_is_sent_elsewhere_after_failed_connection(self):
         """A failed connection must not count as a possible run."""
         system = await fixtures.start_system(self, engines=1)
         await system.targets["plain-0"].close()
--- a/copperloom/ingress/tests/test_fleet_start.py
+++ b/copperloom/ingress/tests/test_fleet_start.py
@@ -42,7 +42,7 @@
 
 
 def _put_rows(system: fixtures.System, owners) -> None:
-    """Writes the rows that the owners have left in an earlier run."""
+    """Writes the rows of the owners, as left over from an earlier run."""
     for own in owners:
         row = catalog.MemberRow(
             own.instance,
@@ -92,8 +92,7 @@
     async def test_few_instances_read_when_all_start_at_once(self):
         """Guards against each instance reading all targets.
 
-        No instance knows a live member yet, so each may take the fleet for a
-        small one.
+        No instance knows a live member yet, so the fleet may appear small.
         """
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
@@ -107,8 +106,7 @@
     async def test_instances_find_the_owners_whichever_seed_replies(self):
         """Guards against instances that know the fleet size but no owners.
 
-        The seeds started just before and know hardly any members, though they
-        report a large fleet.
+        The seeds, which have just started, know hardly any members.
         """
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
@@ -129,7 +127,7 @@
         )
 
     async def test_few_instances_read_when_the_owners_are_gone(self):
-        """Guards against all instances reading if no watcher comes back."""
+        """Guards against reads by all instances if no watcher starts again."""
         system = await fixtures.start_system(self, engines=0, plain=0, fronts=0)
         _put_targets(system)
         fleet = _fleet(system.store.address)
--- a/copperloom/ingress/tests/test_gossip.py
+++ b/copperloom/ingress/tests/test_gossip.py
@@ -41,9 +41,9 @@
             await asyncio.sleep(0)
 
     async def test_added_work_is_sent_at_once(self):
-        """Guards against two instances taking the last slot of an engine.
+        """Guards against two prompts for the last free slot of an engine.
 
-        They place prompts within milliseconds of each other.
+        Two instances may place them within milliseconds of each other.
         """
         self.assertEqual(self.transport.sent, [])
         inflight_table.begin(self.entry.inflight, "q1", [_WORK])
--- a/copperloom/ingress/tests/test_placement_rpc.py
+++ b/copperloom/ingress/tests/test_placement_rpc.py
@@ -95,10 +95,9 @@
         self.assertEqual(seen, [slots] * 4)
 
     async def test_owner_avoids_target_that_refuses_all_requests(self):
-        """An engine that refuses everything is idle and so looks best.
+        """An engine that refuses everything is idle, so it appears best.
 
-        Each request comes from another instance, which has not yet seen it
-        fail.
+        Each request comes from an instance that has not seen it fail yet.
         """
         system = await _start_fleet(self, engines=2)
         refusing = system.targets["engine-0"]
--- a/copperloom/ingress/tests/test_stop.py
+++ b/copperloom/ingress/tests/test_stop.py
@@ -11,9 +11,9 @@
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
     async def test_requests_in_progress_are_finished(self):
-        """A stop must not cut a stream, nor refuse requests too early.
+        """A stop must not cut off a stream or refuse requests too early.
 
-        The load balancer still sends requests until it sees the readiness.
+        The load balancer sends requests until a readiness check has failed.
         """
         system = await fixtures.start_system(self)
         for target in system.targets.values():
@@ -36,7 +36,7 @@
         await stopping
 
     async def test_request_to_silent_target_gets_504_before_the_stop(self):
-        """A request in progress at the stop must get an error, not a cut."""
+        """A request in progress must get an error, not a closed connection."""
         system = await fixtures.start_system(self, engines=1)
         system.targets["engine-0"].always = target_standin.Fault.MUTE
         calling = asyncio.ensure_future(
--- a/copperloom/ingress/updates.py
+++ b/copperloom/ingress/updates.py
@@ -88,7 +88,8 @@
         started = registry.update(state.targets, changes, version, now)
     for entry in started:
         if before.get(entry.name) is not None:
-            # Reported work at a target that is only new here remains valid.
+            # Only a restart ends earlier work: a target that is merely new to
+            # this instance may have work that peers reported.
             inflight_table.drop_target(state.inflight, entry.name)
         state.health.pop(entry.name, None)
         state.peer_health.pop(entry.name, None)
--- a/copperloom/ingress/watchers.py
+++ b/copperloom/ingress/watchers.py
@@ -7,8 +7,8 @@
 
 __all__ = ["is_watcher"]
 
-# Number of instances that watch the tables and pass changes on. Few, since each
-# call is paid for; several, since the platform may refuse some of them.
+# Number of instances that watch the tables and send changes to the others. Few,
+# since each call is billed; several, since the platform may refuse some.
 WATCHERS = 5
 
 
@@ -33,8 +33,8 @@
         name: m for name, m in state.members.items() if not m.table_unreachable
     }
     own = state.settings
-    me = shards.Instance(own.instance, own.cores)
-    order = members.rank_owners(reachable, me, own.data_centre, shard)
+    candidate = shards.Instance(own.instance, own.cores)
+    order = members.rank_owners(reachable, candidate, own.data_centre, shard)
     return members.is_owner(
         order,
         reachable,
@@ -46,16 +46,18 @@
 
 
 def _count_cut_off_owners(state: IngressState, now: float) -> int:
-    """Counts the preceding local owners that the platform does not answer.
+    """Counts the higher-ranked local owners that can't read the tables.
 
     During a full outage of the tables, every instance would in turn replace
     those that report it, and hundreds would call a service that does not
     answer. The owners keep calling it, and inform the others once it is back.
     """
     own = state.settings
-    me = shards.Instance(own.instance, own.cores)
+    candidate = shards.Instance(own.instance, own.cores)
     local_shard = shards.Shard("", own.data_centre)
-    order = members.rank_owners(state.members, me, own.data_centre, local_shard)
+    order = members.rank_owners(
+        state.members, candidate, own.data_centre, local_shard
+    )
     preceding = order[: order.index(own.instance)]
     owners = [state.members[name] for name in preceding]
     return sum(m.table_unreachable and members.is_live(m, now) for m in owners)
--- a/copperloom/peers/catalog.py
+++ b/copperloom/peers/catalog.py
@@ -1,8 +1,8 @@
 """Transfers routes, targets and members between instances.
 
-Most instances do not read the platform's tables themselves, and one may be
-refused by the platform or start while it is unavailable. They fetch a newer
-version from a peer, and apply it as if it came from the tables.
+Most instances do not read the platform's tables themselves, and others can't:
+the platform refuses them, or is unavailable. They fetch newer versions from a
+peer, and apply them as if they came from the tables.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 __all__ = ["Fetched", "fetch", "serve"]
 
-# A round trip and the transfer of some ten KB; a slower peer is likely faulty.
+# Covers a round trip and the transfer; a slower peer is likely faulty.
 _CALL_TIMEOUT_S = 1.0
 # Higher levels take longer and hardly make the documents smaller.
 _COMPRESSION_LEVEL = 1
@@ -33,8 +33,8 @@
     """The result of a fetch from a peer.
 
     Attributes:
-        had_room: Whether its link had capacity for all that it has newer.
-        alternatives: IP:port of members that it named instead.
+        had_room: Whether its link had capacity for all of its newer data.
+        alternatives: IP:port of members that the rest may be fetched from.
     """
 
     had_room: bool
@@ -80,7 +80,7 @@
 
 
 def _if_capacity(state: IngressState, packed: bytes) -> bytes:
-    """Returns a document, or nothing if the link has no capacity for it now."""
+    """Returns a document, or b"" if the link has no capacity for it now."""
     transfer_s = len(packed) / state.settings.link_bytes_s
     now = asyncio.get_running_loop().time()
     return (
@@ -89,7 +89,7 @@
 
 
 def _is_complete(reply, request) -> bool:
-    """Returns whether a reply holds all that its sender has newer."""
+    """Returns whether a reply holds all newer data of its sender."""
     has_targets = (
         reply.targets or reply.targets_version <= request.targets_version
     )
@@ -134,7 +134,7 @@
 
 
 async def serve(state: IngressState) -> grpclib.server.Server | None:
-    """Serves peers; returns None if this instance has no address for them."""
+    """Starts the server for peers; returns None if no address is set for it."""
     address = state.settings.peers_listen
     if not address:
         return None
@@ -147,10 +147,10 @@
 
 
 async def fetch(state: IngressState, address: str) -> Fetched:
-    """Fetches what a peer has newer, and applies it.
+    """Fetches the newer routes and targets of a peer, and applies them.
 
     Returns:
-        Whether the peer sent all of it, and the members that it named if not.
+        Whether the peer sent all of them, and other members to ask if not.
 
     Raises:
         copperloom.exception.PeerUnavailableError: The peer did not reply.
--- a/copperloom/peers/client.py
+++ b/copperloom/peers/client.py
@@ -68,7 +68,9 @@
         OSError,
     ) as error:
         _drop(channels, address)
-        raise exception.PeerUnavailableError(f"{address}: {error}") from error
+        raise exception.PeerUnavailableError(
+            f"{address} did not reply: {error}"
+        ) from error
     channels.bytes_in += reply.ByteSize()
     return reply
 
--- a/copperloom/peers/digest.py
+++ b/copperloom/peers/digest.py
@@ -69,7 +69,7 @@
 
 
 def confirmed_at(reply: peers_pb2.Digest, requested_at: float) -> float:
-    """Returns the time up to which a reply proves its version the newest.
+    """Returns the time at which a reply's version was known to be the newest.
 
     The age in the reply was determined after the request was sent, so the
     result is never too late, however long the reply took.
@@ -86,7 +86,8 @@
 def _age_ms(state, now: float) -> int:
     if not state.cfg_loaded or state.confirmed_at == float("-inf"):
         return NEVER_MS
-    # Rounded up: too short an age would prove too much.
+    # Rounded up: with too short an age, peers would rely on the version for
+    # longer than it was confirmed.
     return min(NEVER_MS, max(0, int((now - state.confirmed_at) * 1000) + 1))
 
 
