--- a/copperloom/ingress/registration.py
+++ b/copperloom/ingress/registration.py
@@ -172,7 +172,7 @@
 
 
 async def leave(state: IngressState) -> None:
-    """Removes this instance's row, unless the platform replies too late."""
+    """Removes this instance's row, or leaves it if the platform is too slow."""
     try:
         async with asyncio.timeout(_LEAVE_TIMEOUT_S):
             await store.remove_row(
--- a/copperloom/peers/client.py
+++ b/copperloom/peers/client.py
@@ -69,7 +69,7 @@
     ) as error:
         _drop(channels, address)
         raise exception.PeerUnavailableError(
-            f"{address} did not reply: {error}"
+            f"{address} gave no valid reply: {error}"
         ) from error
     channels.bytes_in += reply.ByteSize()
     return reply
