--- a/copperloom/ingress/tests/fixtures.py
+++ b/copperloom/ingress/tests/fixtures.py
@@ -43,6 +43,9 @@
 # and other test runs may be in progress.
 _NETWORK = f"127.{16 + os.getpid() % 200}.{os.getpid() // 200 % 250}"
 _ids = itertools.count(1)
+# Ports already returned by `free_port`. The kernel may pick a port again once
+# the probe is closed, before the instance listens on it.
+_issued_ports: set[int] = set()
 _TIMEOUT_S = 5.0
 _POLL_INTERVAL_S = 0.01
 
@@ -165,10 +168,14 @@
 
 
 def free_port() -> int:
-    """Returns a port on which no process listens."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
+    """Returns a port on which no process listens, each port only once."""
+    while True:
+        with socket.socket() as probe:
+            probe.bind(("127.0.0.1", 0))
+            port = probe.getsockname()[1]
+        if port not in _issued_ports:
+            _issued_ports.add(port)
+            return port
 
 
 def own_settings(ip: str, store: str, **changes) -> settings.PlatformSettings:
